--- a/src/bench/holder_bench.cpp
+++ b/src/bench/holder_bench.cpp
@@ -35,8 +35,8 @@
 		row.id = BoxId("life-" + std::to_string(n));
 		PoolStatus &pool = view.pools[row.pool];
 		const bool busy = n % POOLS == 0 || n / POOLS % 2 == 0;
-		pool.boxes.push_back(
-				PoolBox{row.box, BoxLife{row.id, Millis(1)}, busy ? 5U : 0U, busy ? ROOM.cpu / 2 : 0, ROOM.cpu, true});
+		pool.boxes.push_back(PoolBox{row.box, BoxIncarnation{row.id, Millis(1)}, busy ? 5U : 0U,
+									 busy ? ROOM.cpu / 2 : 0, ROOM.cpu, true});
 		view.machines.push_back(row);
 	}
 	view.pools[PoolOf(0)].waiting_cpu = WAITING;
--- a/src/jobs/job_codec.cpp
+++ b/src/jobs/job_codec.cpp
@@ -64,16 +64,16 @@
 
 } // namespace
 
-std::string KeyOf(const InboxName &name)
+std::string KeyOf(const InboxKey &name)
 {
 	std::string key = name.cancels ? std::string(1, CANCEL_MARK) : std::string();
 	key += name.job.Value();
 	return name.account.Value().empty() ? key : key + ACCOUNT_MARK + name.account.Value();
 }
 
-InboxName InboxNameOf(std::string_view key)
+InboxKey ParseInboxKey(std::string_view key)
 {
-	InboxName name;
+	InboxKey name;
 	name.cancels = key.front() == CANCEL_MARK;
 	key.remove_prefix(name.cancels ? 1 : 0);
 	const size_t mark = key.find(ACCOUNT_MARK);
@@ -124,7 +124,7 @@
 	out.route = progress.route.Value();
 	out.changed = progress.changed.Value();
 	out.revision = progress.revision;
-	std::map<BoxLife, uint16_t> places;
+	std::map<BoxIncarnation, uint16_t> places;
 	for (const StoredTask &task : progress.tasks) {
 		auto row = std::make_unique<wire::TaskRecordT>();
 		row->phase = static_cast<uint8_t>(task.phase);
@@ -173,7 +173,8 @@
 		if (row->box > 0) {
 			const size_t place = row->box - 1U;
 			/* Earlier versions record no start: such a life counts as older than any that tells its own. */
-			task.box = BoxLife{BoxId(in->boxes[place]), Millis(place < in->started.size() ? in->started[place] : 0)};
+			task.box = BoxIncarnation{BoxId(in->boxes[place]),
+									  Millis(place < in->started.size() ? in->started[place] : 0)};
 		}
 		progress.tasks.push_back(std::move(task));
 	}
--- a/src/jobs/job_codec.h
+++ b/src/jobs/job_codec.h
@@ -9,7 +9,7 @@
 	TaskPhase phase = TaskPhase::TP_WAITING; ///< Where it stands.
 	RunNumber run;                           ///< Last start; also of one that has ended.
 	uint32_t failures = 0;                   ///< Runs that failed.
-	BoxLife box;                             ///< Where it may run, while placed.
+	BoxIncarnation box;                      ///< Where it may run, while placed.
 	std::string saved;                       ///< Checkpoint to resume from.
 	/** The current run is to be stopped for planned work. Recorded before that stop leaves: a box lists a run at full
 	 * pace until it has ended, so the next owner would take the task for one that works. */
@@ -35,18 +35,18 @@
 
 /** What a caller's record in the inbox is about, as its key tells. Two accounts that use one id have two keys: the
  * newest record of a key is all that the log keeps. */
-struct InboxName {
+struct InboxKey {
 	JobId job;            ///< The job.
 	AccountName account;  ///< The caller's account; empty on a route without keys.
 	bool cancels = false; ///< Whether it cancels the job, rather than hands it in.
 
-	auto operator<=>(const InboxName &) const = default;
+	auto operator<=>(const InboxKey &) const = default;
 };
 
 /** @return Key of a caller's record. @param name What it is about. */
-std::string KeyOf(const InboxName &name);
+std::string KeyOf(const InboxKey &name);
 /** @return What a caller's record is about. @param key Its key, not empty. */
-InboxName InboxNameOf(std::string_view key);
+InboxKey ParseInboxKey(std::string_view key);
 
 /** @return Bytes of a submission, without the job's id: that is the record's key. */
 std::string EncodeSubmission(const JobSpec &spec);
--- a/src/jobs/job_config.cpp
+++ b/src/jobs/job_config.cpp
@@ -43,7 +43,7 @@
 	return std::ranges::find(this->labels, label) != this->labels.end();
 }
 
-std::string LifeText(const BoxLife &life)
+std::string LifeText(const BoxIncarnation &life)
 {
 	return life.started == Millis(0) ? life.id.Value() : life.id.Value() + "@" + std::to_string(life.started.Value());
 }
--- a/src/jobs/job_type.h
+++ b/src/jobs/job_type.h
@@ -21,15 +21,15 @@
  * One start of a box's agent. It holds and knows nothing of an earlier one, also under the same id: its clock and its
  * numbers of ends begin anew, and it has seen no token, run or stop.
  */
-struct BoxLife {
+struct BoxIncarnation {
 	BoxId id;       ///< Its id.
 	Millis started; ///< Wall time of the start; 0 when it isn't told.
 
-	auto operator<=>(const BoxLife &) const = default;
+	auto operator<=>(const BoxIncarnation &) const = default;
 };
 
 /** @return A life, as logs show it: the id, and when it began if that is known. @param life The life. */
-std::string LifeText(const BoxLife &life);
+std::string LifeText(const BoxIncarnation &life);
 
 /** A step of a job: tasks that are alike. */
 struct StepSpec {
@@ -144,7 +144,7 @@
 
 /** What a box's agent says of itself. */
 struct BoxReport {
-	BoxLife life;                    ///< Its current start.
+	BoxIncarnation life;             ///< Its current start.
 	BoxName box;                     ///< The box.
 	ServiceName service;             ///< Pool that it serves.
 	std::string address;             ///< IP:port of its agent.
@@ -173,24 +173,24 @@
 
 /** How an order ended. */
 enum class OrderOutcome : uint8_t {
-	OO_DONE = 0,        ///< Carried out, also when it was before.
-	OO_FENCED = 1,      ///< The box has seen a higher token.
-	OO_RUN_TOO_OLD = 2, ///< This or a later run was stopped or has ended there.
-	OO_LEASE_PAST = 3,  ///< The lease would end in the past.
-	OO_NO_ROOM = 4,     ///< It doesn't fit.
-	OO_NO_TICKET = 5,   ///< The placement policy's ticket is missing or old.
-	OO_OTHER_LIFE = 6,  ///< Another life of a box answers at this address.
-	OO_BUSY = 7,        ///< Refused by an unhealthy box: nothing was done.
-	OO_REJECTED = 8,    ///< The order is not valid.
-	OO_NOT_SENT = 9,    ///< No connection: certainly not carried out.
-	OO_UNKNOWN = 10,    ///< No answer: it may be carried out, also later.
+	OO_DONE = 0,              ///< Carried out, also when it was before.
+	OO_FENCED = 1,            ///< The box has seen a higher token.
+	OO_RUN_TOO_OLD = 2,       ///< This or a later run was stopped or has ended there.
+	OO_LEASE_PAST = 3,        ///< The lease would end in the past.
+	OO_NO_ROOM = 4,           ///< It doesn't fit.
+	OO_NO_TICKET = 5,         ///< The placement policy's ticket is missing or old.
+	OO_OTHER_INCARNATION = 6, ///< Another life of a box answers at this address.
+	OO_BUSY = 7,              ///< Refused by an unhealthy box: nothing was done.
+	OO_REJECTED = 8,          ///< The order is not valid.
+	OO_NOT_SENT = 9,          ///< No connection: certainly not carried out.
+	OO_UNKNOWN = 10,          ///< No answer: it may be carried out, also later.
 };
 
 /** Answer to an order. */
 struct OrderAnswer {
 	OrderOutcome outcome = OrderOutcome::OO_UNKNOWN; ///< How it ended.
 	std::optional<Millis> box_clock;                 ///< The box's clock, when it told.
-	std::optional<BoxLife> life;                     ///< The life that answered, when it told.
+	std::optional<BoxIncarnation> life;              ///< The life that answered, when it told.
 };
 
 /** How a run ended. */
--- a/src/jobs/shard_base.h
+++ b/src/jobs/shard_base.h
@@ -42,7 +42,7 @@
 	/** The owner before has let go by itself, or there was none. Before Begin(). @param span For so long owners before
 	 * that one may still prolong leases. Told on from owner to owner: tasks of a dark box stood for 43 s when each of
 	 * five owners within 30 s began to count anew. */
-	void OtherOwnersFor(Millis span) { this->other_owner_until = this->owned_since + span; }
+	void SetEarlierLeaseSpan(Millis span) { this->other_owner_until = this->owned_since + span; }
 	/** @return For how long earlier owners may still prolong leases. */
 	[[nodiscard]] Millis OtherOwnersLeft() const
 	{
@@ -55,7 +55,7 @@
 	 */
 	void Drain(const std::set<BoxName> &drain, const std::set<BoxName> &due);
 	/** Lives have ended: what ran there is lost. @param lives Lives that don't come back, also of other pools. */
-	void NoteEnded(const std::set<BoxLife> &lives);
+	void NoteEnded(const std::set<BoxIncarnation> &lives);
 	/** @return Whether the log has confirmed this ownership lately: another owner may place tasks otherwise, and what
 	 * is said of boxes here may be over. */
 	[[nodiscard]] bool Confirmed() const;
@@ -76,9 +76,9 @@
 	/** Takes a box's report. @param report It. */
 	void OnReport(const BoxReport &report);
 	/** The report under an id is gone. @param id The id. */
-	void OnReportGone(const BoxId &id);
+	void OnReportRemoved(const BoxId &id);
 	/** Tells where a life answered whose report has gone. Before Begin(). @param report Its last report. */
-	void KnowGone(const BoxReport &report) { this->gone_reports[report.life] = report; }
+	void NoteRemovedReport(const BoxReport &report) { this->gone_reports[report.life] = report; }
 	/** Everything known when the shard was claimed has been told: begins to place. */
 	void Begin();
 
@@ -103,7 +103,7 @@
 	/** @return How many of its boxes are in use, and why others are not. */
 	[[nodiscard]] BoxCounts CountBoxes() const;
 	/** @return Boxes. */
-	[[nodiscard]] const std::map<BoxLife, ShardBox> &Boxes() const { return this->boxes; }
+	[[nodiscard]] const std::map<BoxIncarnation, ShardBox> &Boxes() const { return this->boxes; }
 	/** @return What accounts have running here. */
 	[[nodiscard]] const AccountBook &Accounts() const { return this->book; }
 	/** @return Jobs. */
@@ -128,12 +128,12 @@
 
 	/** What goes on when a batch is recorded. */
 	struct Batch {
-		std::vector<PendingStart> starts;  ///< Starts to send.
-		std::vector<PendingStop> stops;    ///< Stops to send.
-		std::map<BoxLife, uint64_t> ends;  ///< Ends that boxes may forget, up to these numbers.
-		std::map<JobId, JobPhase> phases;  ///< Phases of the jobs recorded.
-		std::vector<IncomingRecord> taken; ///< Callers' records that it takes along.
-		Millis made_at;                    ///< When it was handed to the journal.
+		std::vector<PendingStart> starts;        ///< Starts to send.
+		std::vector<PendingStop> stops;          ///< Stops to send.
+		std::map<BoxIncarnation, uint64_t> ends; ///< Ends that boxes may forget, up to these numbers.
+		std::map<JobId, JobPhase> phases;        ///< Phases of the jobs recorded.
+		std::vector<IncomingRecord> taken;       ///< Callers' records that it takes along.
+		Millis made_at;                          ///< When it was handed to the journal.
 	};
 
 	Scheduler &scheduler;                              ///< Clock and timers.
@@ -157,8 +157,8 @@
 	std::map<JobId, StoredProgress> restored;          ///< Recorded progress whose submission is not there yet.
 	std::set<std::pair<JobId, AccountName>> cancelled; ///< Cancellations, also of jobs that are not there, by caller.
 	AccountBook book;                                  ///< What accounts have running here.
-	std::map<BoxLife, ShardBox> boxes;                 ///< Boxes of the service.
-	std::map<BoxLife, BoxReport> gone_reports;         ///< Last reports of lives whose report has gone, until Begin().
+	std::map<BoxIncarnation, ShardBox> boxes;          ///< Boxes of the service.
+	std::map<BoxIncarnation, BoxReport> gone_reports;  ///< Last reports of lives whose report has gone, until Begin().
 	Millis order_lost_at{-1000000};              ///< When a box was last seen to live on after an unanswered order.
 	std::set<BoxId> held;                        ///< Ids whose next life may carry out orders to the one before.
 	std::map<BoxId, BoxReport> older_reports;    ///< Reports of lives that began before one that is known.
@@ -167,7 +167,7 @@
 	uint64_t incoming_last = 0;                  ///< Number of the last of them.
 	Millis alarm_until;                          ///< Until then starts on one box are kept apart.
 	std::set<TaskId> blamed;                     ///< Tasks that a crash has named, also some that are over.
-	std::optional<BoxLife> trial_box;            ///< Box that is kept for them, while some wait.
+	std::optional<BoxIncarnation> trial_box;     ///< Box that is kept for them, while some wait.
 	Millis refused_at{-1000000};                 ///< When the log had last refused what was to be recorded.
 	std::vector<IncomingRecord> accepted;        ///< Those that the next append takes along.
 	std::set<JobId> dirty;                       ///< Jobs to be recorded.
@@ -210,7 +210,7 @@
 	 */
 	[[nodiscard]] ResultCode FateOf(const IncomingRecord &incoming) const;
 	/** @return Whether a record is about a job that another account has handed in. */
-	[[nodiscard]] bool OfOtherAccount(const InboxName &name) const;
+	[[nodiscard]] bool OfOtherAccount(const InboxKey &name) const;
 	void Withdraw(uint64_t number);
 	void TakeIncoming();
 	[[nodiscard]] StoredProgress Stored(const ShardJob &job) const;
@@ -260,7 +260,7 @@
 	void Assign(ShardJob &job, const TaskId &id, ShardBox &box, RunNumber run);
 	void PumpStarts();
 	void SendStart(const PendingStart &start);
-	void OnStarted(const TaskId &id, RunNumber run, const BoxLife &life, const OrderAnswer &answer);
+	void OnStarted(const TaskId &id, RunNumber run, const BoxIncarnation &life, const OrderAnswer &answer);
 	void OnStartUnknown(const TaskId &id, ShardTask &task);
 	void RepeatStart(const TaskId &id, ShardTask &task);
 	void OnStartRefused(const TaskId &id, ShardTask &task, OrderOutcome outcome);
@@ -280,12 +280,12 @@
 	[[nodiscard]] OrderSent Sent(const ShardBox &box) const;
 	bool TakeOutcome(const OrderSent &sent, const OrderAnswer &answer);
 	[[nodiscard]] static bool OfOtherLife(const OrderSent &sent, const OrderAnswer &answer);
-	void OnStopped(const TaskId &id, RunNumber run, const BoxLife &life, const OrderAnswer &answer);
+	void OnStopped(const TaskId &id, RunNumber run, const BoxIncarnation &life, const OrderAnswer &answer);
 
 	/* shard_boxes.cpp */
 	void PumpLease(ShardBox &box);
 	[[nodiscard]] static bool Idle(const ShardBox &box);
-	void PumpAfter(const BoxLife &life, Millis delay);
+	void PumpAfter(const BoxIncarnation &life, Millis delay);
 	void OnLease(const OrderSent &sent, uint64_t noted, const LeaseAnswer &answer);
 	void OnNoLease(ShardBox &box, OrderOutcome outcome);
 	[[nodiscard]] bool Behind() const;
@@ -353,7 +353,7 @@
 	void EmptyBoxes();
 	[[nodiscard]] bool Gone(const ShardBox &box, Millis now) const;
 	void NoteStoreAway();
-	[[nodiscard]] bool Heard(const BoxLife &life) const;
+	[[nodiscard]] bool Heard(const BoxIncarnation &life) const;
 	[[nodiscard]] bool MayStop(const ShardJob &job, const TaskId &id) const;
 	[[nodiscard]] static bool Placing(const ShardBox &box, Millis now);
 };
--- a/src/jobs/shard_boxes.cpp
+++ b/src/jobs/shard_boxes.cpp
@@ -86,7 +86,7 @@
 	return !lives.empty() && !lives.back()->over && report.life < lives.back()->report.life;
 }
 
-void Shard::OnReportGone(const BoxId &id)
+void Shard::OnReportRemoved(const BoxId &id)
 {
 	this->older_reports.erase(id);
 	for (ShardBox *box : this->LivesOf(id)) {
@@ -136,7 +136,7 @@
 	box.lapse_at = std::max(box.lapse_at, end);
 }
 
-void Shard::PumpAfter(const BoxLife &life, Millis delay)
+void Shard::PumpAfter(const BoxIncarnation &life, Millis delay)
 {
 	ShardBox &box = this->boxes.at(life);
 	this->scheduler.Cancel(box.timer);
@@ -435,7 +435,7 @@
 	const Millis now = this->scheduler.Now();
 	size_t busy = 0;
 	this->counters.boxes_walked += this->boxes.size();
-	std::vector<BoxLife> forget;
+	std::vector<BoxIncarnation> forget;
 	for (auto &[life, box] : this->boxes) {
 		busy += box.placed.empty() ? 0 : 1;
 		const bool lapsed = !box.over && now >= box.lapse_at && now - box.answered_at > this->limits.lease_wait;
@@ -451,7 +451,7 @@
 	}
 	this->SetLookGap(busy);
 	std::erase_if(this->held, [this](const BoxId &it) { return !this->Holds(it); });
-	for (const BoxLife &life : forget) {
+	for (const BoxIncarnation &life : forget) {
 		this->scheduler.Cancel(this->boxes.at(life).timer);
 		this->boxes.erase(life);
 	}
--- a/src/jobs/shard_drain.cpp
+++ b/src/jobs/shard_drain.cpp
@@ -45,7 +45,7 @@
 	this->Wake();
 }
 
-bool Shard::Heard(const BoxLife &life) const
+bool Shard::Heard(const BoxIncarnation &life) const
 {
 	const auto it = this->boxes.find(life);
 	const Millis within = this->limits.lease_wait + OVERDUE;
--- a/src/jobs/shard_lives.cpp
+++ b/src/jobs/shard_lives.cpp
@@ -31,8 +31,8 @@
 std::vector<ShardBox *> Shard::LivesOf(const BoxId &id)
 {
 	std::vector<ShardBox *> out;
-	for (auto it = this->boxes.lower_bound(BoxLife{id, Millis(0)}); it != this->boxes.end() && it->first.id == id;
-		 ++it) {
+	for (auto it = this->boxes.lower_bound(BoxIncarnation{id, Millis(0)});
+		 it != this->boxes.end() && it->first.id == id; ++it) {
 		out.push_back(&it->second);
 	}
 	return out;
@@ -76,9 +76,9 @@
 	}
 }
 
-void Shard::NoteEnded(const std::set<BoxLife> &lives)
+void Shard::NoteEnded(const std::set<BoxIncarnation> &lives)
 {
-	for (const BoxLife &life : lives) {
+	for (const BoxIncarnation &life : lives) {
 		if (const auto it = this->boxes.find(life); it != this->boxes.end()) {
 			this->EndLife(it->second, "machine_down");
 		}
--- a/src/jobs/shard_owner.cpp
+++ b/src/jobs/shard_owner.cpp
@@ -22,7 +22,7 @@
 	if (key == OWNER_KEY) {
 		return SpareKey{key, false};
 	}
-	return key.front() == TAKEN_MARK ? SpareKey{key.substr(1), false} : SpareKey{PROGRESS_MARK + key, true};
+	return key.front() == TAKEN_MARK ? SpareKey{key.substr(1), false} : SpareKey{PROGRESS_PREFIX + key, true};
 }
 
 constexpr FollowPace INBOX_PACE{Millis(1000), Millis(0), Millis(100)}; ///< Long polls: a submission is read at once.
@@ -34,10 +34,10 @@
 	return "keyed.jobs." + service.Value();
 }
 
-ShardOwner::ShardOwner(const OwnerParts &parts, ServiceName service, std::function<bool()> wanted,
+ShardOwner::ShardOwner(const ShardOwnerContext &parts, ServiceName service, std::function<bool()> wanted,
 					   std::function<bool()> watches)
 		: parts(parts), service(std::move(service)), wanted(std::move(wanted)),
-		  watches(std::move(watches)), progress{TopicOf(this->service), PROGRESS_PART}
+		  watches(std::move(watches)), progress{TopicOf(this->service), PROGRESS_PARTITION}
 {
 }
 
@@ -56,7 +56,7 @@
 
 bool ShardOwner::Fresh() const
 {
-	return this->running && this->parts.scheduler.Now() - this->inbox->FreshAt() <= FRESH_FOR;
+	return this->running && this->parts.scheduler.Now() - this->inbox->CurrentAsOf() <= FRESH_FOR;
 }
 
 void ShardOwner::Run(const ClaimedPartition &claimed)
@@ -69,7 +69,7 @@
 										  this->service, FenceToken(claimed.number.epoch), this->parts.limits,
 										  this->parts.advisor);
 	if (claimed.released) {
-		this->shard->OtherOwnersFor(claimed.others_for);
+		this->shard->SetEarlierLeaseSpan(claimed.others_for);
 	}
 	this->confirm_due = this->load_at = this->parts.scheduler.Now();
 	this->KeepConfirmed();
@@ -93,9 +93,9 @@
 	this->shard->Configure(this->config);
 	std::ranges::for_each(this->reports | std::views::values,
 						  [this](const BoxReport &it) { this->shard->OnReport(it); });
-	std::ranges::for_each(this->gone, [this](const BoxReport &it) { this->shard->KnowGone(it); });
+	std::ranges::for_each(this->gone, [this](const BoxReport &it) { this->shard->NoteRemovedReport(it); });
 	this->inbox = std::make_unique<KeyedFollower>(this->parts.scheduler, this->parts.log,
-												  PartitionId{this->progress.topic, INBOX_PART}, INBOX_PACE);
+												  PartitionId{this->progress.topic, INBOX_PARTITION}, INBOX_PACE);
 	this->inbox->on_record = [this](const KeyedRecord &it) { this->OnInbox(it); };
 	this->inbox->on_loaded = [this] { this->OnLoaded(); };
 	this->inbox->Start();
@@ -116,7 +116,7 @@
 	if (!record.value || record.key == OWNER_KEY) {
 		return;
 	}
-	const bool progress = record.key.front() == PROGRESS_MARK;
+	const bool progress = record.key.front() == PROGRESS_PREFIX;
 	if (this->running) {
 		if (!progress) { /* Its own, otherwise. */
 			this->Take(record);
@@ -141,7 +141,7 @@
 
 void ShardOwner::Take(const KeyedRecord &record)
 {
-	const InboxName name = InboxNameOf(record.key);
+	const InboxKey name = ParseInboxKey(record.key);
 	if (name.cancels) {
 		this->shard->Cancel(name.job, name.account);
 		return;
@@ -159,7 +159,7 @@
 		done(ResultCode::RC_PEER_UNAVAILABLE);
 		return;
 	}
-	IncomingRecord incoming{KeyedRecord{TAKEN_MARK + record.key, record.value}, std::nullopt, InboxNameOf(record.key),
+	IncomingRecord incoming{KeyedRecord{TAKEN_MARK + record.key, record.value}, std::nullopt, ParseInboxKey(record.key),
 							std::move(done)};
 	if (!incoming.name.cancels) {
 		incoming.spec = DecodeSubmission(incoming.name.job, record.value.value_or(std::string()));
@@ -267,11 +267,11 @@
 	if (report.service != this->service) {
 		if (known != this->reports.end()) {
 			/* A life keeps its service: what names another one now is a later life, or was written by somebody else. */
-			const BoxLife before = known->second.life;
+			const BoxIncarnation before = known->second.life;
 			if (this->shard && before < report.life) {
 				this->shard->NoteEnded({before});
 			}
-			this->OnReportGone(report.life.id);
+			this->OnReportRemoved(report.life.id);
 		}
 		return;
 	}
@@ -284,13 +284,13 @@
 	}
 }
 
-void ShardOwner::OnReportGone(const BoxId &id)
+void ShardOwner::OnReportRemoved(const BoxId &id)
 {
 	if (const auto it = this->reports.find(id); it != this->reports.end()) {
 		this->gone.push_back(it->second);
 		this->reports.erase(it);
 	}
 	if (this->shard) {
-		this->shard->OnReportGone(id);
+		this->shard->OnReportRemoved(id);
 	}
 }
--- a/src/jobs/shard_owner.h
+++ b/src/jobs/shard_owner.h
@@ -7,21 +7,21 @@
 #include "shard_base.h"
 
 /** Partition of a service's topic in which the owner records progress. */
-inline constexpr uint32_t PROGRESS_PART = 0;
+inline constexpr uint32_t PROGRESS_PARTITION = 0;
 /** Partition of a service's topic in which any node records submissions and cancellations. */
-inline constexpr uint32_t INBOX_PART = 1;
+inline constexpr uint32_t INBOX_PARTITION = 1;
 
 /** Before the key of an inbox's record in the key under which the owner records it, among the progress. */
 inline constexpr char TAKEN_MARK = 'j';
 /** Before the id of a job in the key under which the owner records its progress in the inbox, while the partition of
  * progress doesn't answer. Behind all digits of ids. */
-inline constexpr char PROGRESS_MARK = 'p';
+inline constexpr char PROGRESS_PREFIX = 'p';
 
 /** @return Topic of a service. @param service The service. */
 std::string TopicOf(const ServiceName &service);
 
 /** What an owner needs of its node. */
-struct OwnerParts {
+struct ShardOwnerContext {
 	Scheduler &scheduler;                ///< Clock and timers.
 	KeyedLog &log;                       ///< The log.
 	BoxOrders &orders;                   ///< Boxes.
@@ -41,7 +41,7 @@
 	 * @param wanted Whether this node is the one to claim the shard when its owner is gone.
 	 * @param watches Whether it watches the shard's owner beside that one.
 	 */
-	ShardOwner(const OwnerParts &parts, ServiceName service, std::function<bool()> wanted,
+	ShardOwner(const ShardOwnerContext &parts, ServiceName service, std::function<bool()> wanted,
 			   std::function<bool()> watches);
 	~ShardOwner();
 	ShardOwner(const ShardOwner &) = delete;
@@ -60,10 +60,10 @@
 	/** Takes a box's report. @param report It. */
 	void OnReport(const BoxReport &report);
 	/** The report under an id is gone. @param id The id. */
-	void OnReportGone(const BoxId &id);
+	void OnReportRemoved(const BoxId &id);
 	/** Tells where a life answered whose report has gone, before this owner has claimed. @param report Its last report.
 	 */
-	void KnowGone(const BoxReport &report) { this->gone.push_back(report); }
+	void NoteRemovedReport(const BoxReport &report) { this->gone.push_back(report); }
 	/** @return Whether this node owns the shard in the log. */
 	[[nodiscard]] bool Claimed() const { return this->journal != nullptr; }
 	/** @return Whether another node owns the shard. */
@@ -79,7 +79,7 @@
 	std::function<void()> on_lost;    ///< A later owner has claimed the shard: this object may be destroyed from here.
 
 private:
-	OwnerParts parts;                                           ///< What it needs.
+	ShardOwnerContext parts;                                    ///< What it needs.
 	ServiceName service;                                        ///< The service.
 	std::function<bool()> wanted;                               ///< Whether this node is to claim.
 	std::function<bool()> watches;                              ///< Whether this node watches the owner.
--- a/src/jobs/shard_place.cpp
+++ b/src/jobs/shard_place.cpp
@@ -103,7 +103,7 @@
 	std::ranges::stable_sort(able, std::ranges::greater{}, [&step](const OpenBox &it) {
 		return std::tuple(!step.data_rack.empty() && it.box->report.HasLabel(step.data_rack), -it.free.cpu);
 	});
-	std::vector<BoxLife> lives;
+	std::vector<BoxIncarnation> lives;
 	std::ranges::transform(able, std::back_inserter(lives), [](const OpenBox &it) { return it.box->report.life; });
 	this->tickets.Want(StepId{first.job, first.occurrence, first.step}, lives, static_cast<size_t>(waiting));
 }
@@ -382,7 +382,7 @@
 	}
 }
 
-void Shard::OnStarted(const TaskId &id, RunNumber run, const BoxLife &life, const OrderAnswer &answer)
+void Shard::OnStarted(const TaskId &id, RunNumber run, const BoxIncarnation &life, const OrderAnswer &answer)
 {
 	ShardTask *task = this->FindTask(id);
 	const bool current =
--- a/src/jobs/shard_records.cpp
+++ b/src/jobs/shard_records.cpp
@@ -64,7 +64,7 @@
 	return it->second.recorded ? ResultCode::RC_OK : ResultCode::RC_OUTCOME_UNKNOWN;
 }
 
-bool Shard::OfOtherAccount(const InboxName &name) const
+bool Shard::OfOtherAccount(const InboxKey &name) const
 {
 	const auto it = this->jobs.find(name.job);
 	return it != this->jobs.end() && !MayHandle(it->second.spec.account, name.account);
--- a/src/jobs/shard_runs.cpp
+++ b/src/jobs/shard_runs.cpp
@@ -22,7 +22,7 @@
 	if (task.phase == TaskPhase::TP_PLACED) {
 		this->book.Remove(job.spec.account, job.spec.steps[id.step].demand);
 	}
-	task.box = BoxLife();
+	task.box = BoxIncarnation();
 	task.phase = TaskPhase::TP_WAITING;
 	task.stop_wanted = task.stop_sent = task.stop_confirmed = false;
 	task.leaving = task.stop_recorded = false;
@@ -219,7 +219,7 @@
 	if (box == this->boxes.end()) {
 		return true;
 	}
-	if (answer.outcome == OrderOutcome::OO_OTHER_LIFE) {
+	if (answer.outcome == OrderOutcome::OO_OTHER_INCARNATION) {
 		this->EndLife(box->second, "other_life");
 		this->LoseHeld(sent.life.id, "other_life");
 	} else if (OfOtherLife(sent, answer)) {
@@ -234,7 +234,7 @@
 	return true;
 }
 
-void Shard::OnStopped(const TaskId &id, RunNumber run, const BoxLife &life, const OrderAnswer &answer)
+void Shard::OnStopped(const TaskId &id, RunNumber run, const BoxIncarnation &life, const OrderAnswer &answer)
 {
 	const auto box = this->boxes.find(life);
 	ShardTask *task = this->FindTask(id);
--- a/src/jobs/shard_type.h
+++ b/src/jobs/shard_type.h
@@ -180,7 +180,7 @@
 
 /** An order to a box that is under way: who it was meant for, and what was known then. */
 struct OrderSent {
-	BoxLife life;                ///< The life that it was sent to.
+	BoxIncarnation life;         ///< The life that it was sent to.
 	FenceToken fence;            ///< Its token.
 	Millis at;                   ///< When.
 	std::optional<Millis> clock; ///< The life's clock told last by then: it never goes back.
@@ -244,7 +244,7 @@
 /** A box as its pool's owner sees it. */
 struct PoolBox {
 	BoxName box;          ///< The box.
-	BoxLife life;         ///< Its life.
+	BoxIncarnation life;  ///< Its life.
 	uint32_t tasks = 0;   ///< Tasks placed there.
 	int64_t used_cpu = 0; ///< Thousandths of a core taken.
 	int64_t cpu = 0;      ///< Thousandths of a core that it has.
@@ -265,7 +265,7 @@
 struct IncomingRecord {
 	KeyedRecord record;                   ///< What is to be recorded, under its key in the shard's partition.
 	std::optional<JobSpec> spec;          ///< The job; none for a cancellation.
-	InboxName name;                       ///< What it is about.
+	InboxKey name;                        ///< What it is about.
 	std::function<void(ResultCode)> done; ///< Gets RC_OK once it is durable, RC_LOG_UNAVAILABLE when it never will be,
 										  ///< RC_OUTCOME_UNKNOWN when an earlier one of the same may be.
 };
--- a/src/jobs/site_feed.h
+++ b/src/jobs/site_feed.h
@@ -19,7 +19,7 @@
 	virtual void OnConfig(const JobConfig &config) = 0; ///< A configuration, newer than the last one told.
 	virtual void OnWave(const WaveOrder &wave) = 0;     ///< A maintenance wave.
 	virtual void OnReport(const BoxReport &report) = 0; ///< A box's report.
-	virtual void OnReportGone(const BoxId &id) = 0;     ///< The report under an id was removed.
+	virtual void OnReportRemoved(const BoxId &id) = 0;  ///< The report under an id was removed.
 };
 
 /** Follows what is published. */
@@ -32,9 +32,9 @@
 	/** Follows boxes' reports, or stops to. @param wanted Whether to follow. */
 	virtual void WatchBoxes(bool wanted) = 0;
 	/** @return When the last answered question for the configuration was sent. */
-	[[nodiscard]] virtual Millis FreshAt() const = 0;
+	[[nodiscard]] virtual Millis CurrentAsOf() const = 0;
 	/** @return When the last answer to such a question came. */
-	[[nodiscard]] virtual Millis HeardAt() const = 0;
+	[[nodiscard]] virtual Millis LastAnswerAt() const = 0;
 	/** Makes sure that the newest configuration has been told. @param done Gets whether all that was published by now
 	 * is known; perhaps never, when that can't be found out. */
 	virtual void Confirm(std::function<void(bool)> done) = 0;
--- a/src/jobs/ticket_desk.cpp
+++ b/src/jobs/ticket_desk.cpp
@@ -18,7 +18,7 @@
 	this->scheduler.Cancel(this->retry);
 }
 
-const std::string *TicketDesk::Find(const StepId &step, const BoxLife &life) const
+const std::string *TicketDesk::Find(const StepId &step, const BoxIncarnation &life) const
 {
 	const auto known = this->steps.find(step);
 	if (known == this->steps.end()) {
@@ -29,15 +29,15 @@
 	return holds ? &it->second.text : nullptr;
 }
 
-void TicketDesk::Want(const StepId &step, const std::vector<BoxLife> &boxes, size_t wanted)
+void TicketDesk::Want(const StepId &step, const std::vector<BoxIncarnation> &boxes, size_t wanted)
 {
 	Known &known = this->steps[step];
 	if (this->advisor == nullptr || known.asking || this->open >= OPEN_MAX) {
 		return;
 	}
-	std::vector<BoxLife> ask;
+	std::vector<BoxIncarnation> ask;
 	const size_t most = std::min(ASK_AT_ONCE, wanted + SPARE_BOXES);
-	for (const BoxLife &it : boxes) {
+	for (const BoxIncarnation &it : boxes) {
 		if (ask.size() < most && !known.refused.contains(it) && this->Find(step, it) == nullptr) {
 			ask.push_back(it);
 		}
@@ -56,7 +56,8 @@
 					   });
 }
 
-void TicketDesk::OnAdvice(const StepId &step, const std::vector<BoxLife> &asked, Millis sent, const Advice &advice)
+void TicketDesk::OnAdvice(const StepId &step, const std::vector<BoxIncarnation> &asked, Millis sent,
+						  const Advice &advice)
 {
 	this->open--;
 	this->events.Write("advice", {{"job", step.job.Value()},
@@ -68,7 +69,7 @@
 	const auto it = this->steps.find(step);
 	if (it != this->steps.end()) {
 		it->second.asking = false;
-		for (const BoxLife &life : advice.code == ResultCode::RC_OK ? asked : std::vector<BoxLife>()) {
+		for (const BoxIncarnation &life : advice.code == ResultCode::RC_OK ? asked : std::vector<BoxIncarnation>()) {
 			const auto good = advice.tickets.find(life);
 			if (good == advice.tickets.end()) {
 				it->second.refused.insert(life);
@@ -89,7 +90,7 @@
 	}
 }
 
-void TicketDesk::Drop(const StepId &step, const BoxLife &life)
+void TicketDesk::Drop(const StepId &step, const BoxIncarnation &life)
 {
 	if (const auto it = this->steps.find(step); it != this->steps.end()) {
 		it->second.tickets.erase(life);
--- a/src/jobs/ticket_desk.h
+++ b/src/jobs/ticket_desk.h
@@ -22,7 +22,7 @@
 /** What the policy says. */
 struct Advice {
 	ResultCode code = ResultCode::RC_PEER_UNAVAILABLE; ///< RC_OK, or the policy was not heard.
-	std::map<BoxLife, std::string> tickets;            ///< For the boxes that may run the step.
+	std::map<BoxIncarnation, std::string> tickets;     ///< For the boxes that may run the step.
 	Millis valid;                                      ///< How long the tickets hold from the answer on.
 };
 
@@ -31,7 +31,8 @@
 public:
 	virtual ~PlacementAdvisor() = default;
 	/** Asks. @param step What is to run. @param boxes Where it could run. @param done Gets the answer, later. */
-	virtual void Ask(const StepId &step, const std::vector<BoxLife> &boxes, std::function<void(Advice)> done) = 0;
+	virtual void Ask(const StepId &step, const std::vector<BoxIncarnation> &boxes,
+					 std::function<void(Advice)> done) = 0;
 };
 
 /** Keeps the tickets of a shard's steps, and asks for those that are missing. Tickets aren't stored: a new owner asks
@@ -53,12 +54,12 @@
 
 	/** @return The ticket for a step on a box, or null when there is none that still holds. @param step The step.
 	 * @param life The box. */
-	[[nodiscard]] const std::string *Find(const StepId &step, const BoxLife &life) const;
+	[[nodiscard]] const std::string *Find(const StepId &step, const BoxIncarnation &life) const;
 	/** Asks about boxes for a step, unless that is known or being asked. @param step The step. @param boxes Boxes that
 	 * could run it, the best first. @param wanted Boxes that are needed. */
-	void Want(const StepId &step, const std::vector<BoxLife> &boxes, size_t wanted);
+	void Want(const StepId &step, const std::vector<BoxIncarnation> &boxes, size_t wanted);
 	/** A ticket was refused. @param step The step. @param life The box. */
-	void Drop(const StepId &step, const BoxLife &life);
+	void Drop(const StepId &step, const BoxIncarnation &life);
 	/** Forgets the tickets of a job. @param job The job. */
 	void Forget(const JobId &job);
 
@@ -73,9 +74,9 @@
 
 	/** What is known of a step. */
 	struct Known {
-		std::map<BoxLife, Ticket> tickets; ///< Boxes that may run it.
-		std::set<BoxLife> refused;         ///< Boxes that may not: that doesn't change.
-		bool asking = false;               ///< Whether a question is under way.
+		std::map<BoxIncarnation, Ticket> tickets; ///< Boxes that may run it.
+		std::set<BoxIncarnation> refused;         ///< Boxes that may not: that doesn't change.
+		bool asking = false;                      ///< Whether a question is under way.
 	};
 
 	Scheduler &scheduler;                                       ///< Clock and timers.
@@ -86,7 +87,7 @@
 	TimerId retry;                                              ///< Next try after a failure.
 	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
 
-	void OnAdvice(const StepId &step, const std::vector<BoxLife> &asked, Millis sent, const Advice &advice);
+	void OnAdvice(const StepId &step, const std::vector<BoxIncarnation> &asked, Millis sent, const Advice &advice);
 };
 
 #endif /* TICKET_DESK_H */
--- a/src/node/config_exchange.cpp
+++ b/src/node/config_exchange.cpp
@@ -37,7 +37,7 @@
 
 bool ConfigExchange::StoreSilent() const
 {
-	return this->scheduler.Now() - this->feed.HeardAt() > SILENT_AFTER;
+	return this->scheduler.Now() - this->feed.LastAnswerAt() > SILENT_AFTER;
 }
 
 void ConfigExchange::Look()
@@ -100,7 +100,7 @@
 		done(PeerConfig{version, version > question.version ? this->feed.ConfigBody() : std::string(), age});
 	};
 	if (!question.confirm) {
-		answer(this->scheduler.Now() - this->feed.FreshAt());
+		answer(this->scheduler.Now() - this->feed.CurrentAsOf());
 		return;
 	}
 	this->feed.Confirm([answer, still = std::weak_ptr<bool>(this->alive)](bool confirmed) {
--- a/src/node/job_desk.cpp
+++ b/src/node/job_desk.cpp
@@ -33,7 +33,7 @@
 void JobDesk::Submit(const JobSpec &spec, const ServiceName &service, Millis deadline, Done done)
 {
 	this->Record(std::make_shared<Pending>(
-			Pending{service, KeyedRecord{KeyOf(InboxName{spec.id, spec.account}), EncodeSubmission(spec)},
+			Pending{service, KeyedRecord{KeyOf(InboxKey{spec.id, spec.account}), EncodeSubmission(spec)},
 					this->scheduler.Now(), deadline, false, std::move(done)}));
 }
 
@@ -41,7 +41,7 @@
 					 Done done)
 {
 	this->Record(std::make_shared<Pending>(Pending{service,
-												   KeyedRecord{KeyOf(InboxName{id, account, true}), std::string("1")},
+												   KeyedRecord{KeyOf(InboxKey{id, account, true}), std::string("1")},
 												   this->scheduler.Now(), deadline, false, std::move(done)}));
 }
 
@@ -63,7 +63,7 @@
 				this->OnOwner(it, code);
 			}
 		});
-	} else if (this->lookup.Ready(PartitionId{TopicOf(it->service), PROGRESS_PART})) {
+	} else if (this->lookup.Ready(PartitionId{TopicOf(it->service), PROGRESS_PARTITION})) {
 		this->AskOwner(it);
 	} else {
 		this->TryInbox(it);
@@ -82,7 +82,8 @@
 	};
 	it->uncertain = true;
 	this->lookup.Ask(
-			PartitionId{TopicOf(it->service), PROGRESS_PART}, it->record.key, this->scheduler.Now() + OWNER_WAIT, make,
+			PartitionId{TopicOf(it->service), PROGRESS_PARTITION}, it->record.key, this->scheduler.Now() + OWNER_WAIT,
+			make,
 			[this, it, still = std::weak_ptr<bool>(this->alive)](ResultCode code, const MessageUnion *) {
 				if (!still.expired()) {
 					this->OnOwner(it, code);
@@ -110,7 +111,7 @@
 	auto &inbox = this->inboxes[it->service];
 	if (!inbox) {
 		inbox = std::make_unique<InboxWriter>(this->scheduler, this->log,
-											  PartitionId{TopicOf(it->service), INBOX_PART});
+											  PartitionId{TopicOf(it->service), INBOX_PARTITION});
 	}
 	/* A repeated record changes nothing: the first one of a key counts. So no sequence numbers are needed. */
 	const bool before = std::exchange(it->uncertain, true); /* As long as the append may be under way. */
@@ -199,7 +200,7 @@
 	};
 	const std::string what = question.job.Empty() ? question.route.Value() : question.job.Value();
 	this->lookup.Ask(
-			PartitionId{TopicOf(question.service), PROGRESS_PART}, what, deadline - ANSWER_MARGIN, make,
+			PartitionId{TopicOf(question.service), PROGRESS_PARTITION}, what, deadline - ANSWER_MARGIN, make,
 			[done = std::move(done)](ResultCode code, const MessageUnion *message) {
 				const auto *in = message == nullptr ? nullptr : message->AsJobAnswer();
 				done(in == nullptr ? JobAnswer{} : JobAnswer{code, static_cast<JobPhase>(in->phase), in->waiting});
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -28,11 +28,11 @@
 	return out;
 }
 
-std::set<BoxLife> LivesOf(const glade::wire::PoolQuestionT &in)
+std::set<BoxIncarnation> LivesOf(const glade::wire::PoolQuestionT &in)
 {
-	std::set<BoxLife> out;
+	std::set<BoxIncarnation> out;
 	for (size_t n = 0; n < std::min(in.ended.size(), in.ended_started.size()); n++) {
-		out.insert(BoxLife{BoxId(in.ended[n]), Millis(in.ended_started[n])});
+		out.insert(BoxIncarnation{BoxId(in.ended[n]), Millis(in.ended_started[n])});
 	}
 	return out;
 }
@@ -108,7 +108,7 @@
 	out.late_cpu = in.late_cpu;
 	out.shares = ReportOf(in.shares.get());
 	std::ranges::transform(in.boxes, std::back_inserter(out.boxes), [](const auto &it) {
-		return PoolBox{BoxName(it->box), BoxLife{BoxId(it->life), Millis(it->started)},
+		return PoolBox{BoxName(it->box), BoxIncarnation{BoxId(it->life), Millis(it->started)},
 					   it->tasks,        it->used_cpu,
 					   it->cpu,          it->placing,
 					   it->late_cpu};
@@ -122,8 +122,8 @@
 		: scheduler(scheduler), links(links), self(self),
 		  member(scheduler, links.log, links.events,
 				 GroupSpec{NODE_GROUP, GroupPeer{self.frames, self.cpu}, NODE_TOPIC, self.silence, self.partitions}),
-		  host(OwnerParts{scheduler, links.log, links.orders, links.events, self.frames, self.limits, links.advisor,
-						  NODE_GROUP},
+		  host(ShardOwnerContext{scheduler, links.log, links.orders, links.events, self.frames, self.limits,
+								 links.advisor, NODE_GROUP},
 			   this->member, links.feed, self.partitions),
 		  lookup(scheduler, links.log, links.events),
 		  desk(scheduler, links.log, this->host, this->lookup, links.events), peers(scheduler),
@@ -157,7 +157,7 @@
 
 bool NodeCore::Ready() const
 {
-	const bool reached = this->scheduler.Now() - this->links.feed.FreshAt() <= STORE_SEEN_WITHIN;
+	const bool reached = this->scheduler.Now() - this->links.feed.CurrentAsOf() <= STORE_SEEN_WITHIN;
 	return !this->leaving && this->desk.Config().version > 0 && reached;
 }
 
@@ -276,9 +276,9 @@
 	this->host.OnReport(report);
 }
 
-void NodeCore::OnReportGone(const BoxId &id)
+void NodeCore::OnReportRemoved(const BoxId &id)
 {
-	this->host.OnReportGone(id);
+	this->host.OnReportRemoved(id);
 }
 
 std::optional<PoolStatus> NodeCore::PoolHere(const ServiceName &service, const PoolRequest &request)
@@ -312,14 +312,15 @@
 		out.drain = drain;
 		out.due = due;
 		out.loan = NativeLoan(loan);
-		for (const BoxLife &it : ended) {
+		for (const BoxIncarnation &it : ended) {
 			out.ended.push_back(it.id.Value());
 			out.ended_started.push_back(it.started.Value());
 		}
 		return MakeMessage(std::move(out));
 	};
-	this->lookup.Ask(PartitionId{TopicOf(service), PROGRESS_PART}, service.Value(), this->scheduler.Now() + POOL_WAIT,
-					 make, [done = std::move(done)](ResultCode, const MessageUnion *message) {
+	this->lookup.Ask(PartitionId{TopicOf(service), PROGRESS_PARTITION}, service.Value(),
+					 this->scheduler.Now() + POOL_WAIT, make,
+					 [done = std::move(done)](ResultCode, const MessageUnion *message) {
 						 const auto *in = message == nullptr ? nullptr : message->AsPoolAnswer();
 						 done(in == nullptr ? std::nullopt : std::optional(StatusOf(*in)));
 					 });
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -53,7 +53,7 @@
 	void OnConfig(const JobConfig &config) override;
 	void OnWave(const WaveOrder &wave) override;
 	void OnReport(const BoxReport &report) override;
-	void OnReportGone(const BoxId &id) override;
+	void OnReportRemoved(const BoxId &id) override;
 	void Ask(const ServiceName &service, const PoolRequest &request,
 			 std::function<void(std::optional<PoolStatus>)> done) override;
 
--- a/src/node/shard_host.cpp
+++ b/src/node/shard_host.cpp
@@ -39,7 +39,7 @@
 	return (part + 1) % partitions;
 }
 
-ShardHost::ShardHost(OwnerParts parts, GroupMember &member, SiteFeed &feed, uint32_t partitions)
+ShardHost::ShardHost(ShardOwnerContext parts, GroupMember &member, SiteFeed &feed, uint32_t partitions)
 		: parts(std::move(parts)), member(member), feed(feed), partitions(partitions)
 {
 }
@@ -130,7 +130,7 @@
 	};
 	owner->Configure(this->config);
 	std::ranges::for_each(this->reports | std::views::values, [&owner](const BoxReport &it) { owner->OnReport(it); });
-	std::ranges::for_each(this->gone, [&owner](const BoxReport &it) { owner->KnowGone(it); });
+	std::ranges::for_each(this->gone, [&owner](const BoxReport &it) { owner->NoteRemovedReport(it); });
 	owner->Start();
 	this->owners.emplace(service, std::move(owner));
 }
@@ -164,13 +164,13 @@
 	}
 }
 
-void ShardHost::OnReportGone(const BoxId &id)
+void ShardHost::OnReportRemoved(const BoxId &id)
 {
 	if (const auto it = this->reports.find(id); it != this->reports.end()) {
 		this->KeepGone(it->second);
 		this->reports.erase(it);
 	}
-	std::ranges::for_each(this->owners | std::views::values, [&id](const auto &it) { it->OnReportGone(id); });
+	std::ranges::for_each(this->owners | std::views::values, [&id](const auto &it) { it->OnReportRemoved(id); });
 }
 
 void ShardHost::Clear()
--- a/src/node/shard_host.h
+++ b/src/node/shard_host.h
@@ -39,7 +39,7 @@
 	 * @param feed For boxes' reports; outlives this.
 	 * @param partitions Partitions of a topic.
 	 */
-	ShardHost(OwnerParts parts, GroupMember &member, SiteFeed &feed, uint32_t partitions);
+	ShardHost(ShardOwnerContext parts, GroupMember &member, SiteFeed &feed, uint32_t partitions);
 
 	/** Takes a configuration. @param config It. */
 	void Configure(const JobConfig &config);
@@ -48,7 +48,7 @@
 	/** Takes a box's report. @param report It. */
 	void OnReport(const BoxReport &report);
 	/** The report under an id is gone. @param id The id. */
-	void OnReportGone(const BoxId &id);
+	void OnReportRemoved(const BoxId &id);
 	/** Lets go of everything, for good: the node stops. */
 	void Clear();
 
@@ -60,7 +60,7 @@
 	[[nodiscard]] const std::map<ServiceName, std::unique_ptr<ShardOwner>> &Owners() const { return this->owners; }
 
 private:
-	OwnerParts parts;                                          ///< What owners need.
+	ShardOwnerContext parts;                                   ///< What owners need.
 	GroupMember &member;                                       ///< This node's part in the group.
 	SiteFeed &feed;                                            ///< For boxes' reports.
 	uint32_t partitions;                                       ///< Partitions of a topic.
--- a/src/standin/memory/box_site.cpp
+++ b/src/standin/memory/box_site.cpp
@@ -243,7 +243,7 @@
 {
 	Box *box = this->Find(report);
 	if (box == nullptr) {
-		return this->Plain(nullptr, OrderOutcome::OO_OTHER_LIFE);
+		return this->Plain(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
 	}
 	if (order.fence < box->fence) {
 		return this->Plain(box, OrderOutcome::OO_FENCED);
@@ -295,7 +295,7 @@
 {
 	Box *box = this->Find(report);
 	if (box == nullptr) {
-		return this->Plain(nullptr, OrderOutcome::OO_OTHER_LIFE);
+		return this->Plain(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
 	}
 	if (fence < box->fence) {
 		return this->Plain(box, OrderOutcome::OO_FENCED);
@@ -342,7 +342,7 @@
 {
 	Box *box = this->Find(report);
 	if (box == nullptr) {
-		return this->Plain(nullptr, OrderOutcome::OO_OTHER_LIFE);
+		return this->Plain(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
 	}
 	if (fence < box->fence) {
 		return this->Plain(box, OrderOutcome::OO_FENCED);
@@ -356,7 +356,7 @@
 	LeaseAnswer answer;
 	Box *box = this->Find(report);
 	if (box == nullptr) {
-		answer.order = this->Plain(nullptr, OrderOutcome::OO_OTHER_LIFE);
+		answer.order = this->Plain(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
 		return answer;
 	}
 	if (order.fence < box->fence) {
@@ -433,7 +433,7 @@
 			box, [&site = this->site, box, fence] { return site.Pace(box, fence); }, std::move(done));
 }
 
-void SiteOrders::Poll(const BoxReport &box, const LeaseOrder &order, Millis until, const BoxLife &taken_by,
+void SiteOrders::Poll(const BoxReport &box, const LeaseOrder &order, Millis until, const BoxIncarnation &taken_by,
 					  const std::function<void(LeaseAnswer)> &done)
 {
 	/* An answer that waits is gone with the life that took the call. */
--- a/src/standin/memory/box_site.h
+++ b/src/standin/memory/box_site.h
@@ -48,7 +48,7 @@
 	/** @return A box's own clock: the time since it started. @param box Which. */
 	[[nodiscard]] Millis ClockOf(const BoxName &box) const;
 	/** @return A box's current life. @param box Which. */
-	[[nodiscard]] const BoxLife &LifeOf(const BoxName &box) const { return this->boxes.at(box).report.life; }
+	[[nodiscard]] const BoxIncarnation &LifeOf(const BoxName &box) const { return this->boxes.at(box).report.life; }
 	/** @return Whether a box has crashed and isn't back. @param box Which. */
 	[[nodiscard]] bool Down(const BoxName &box) const;
 	/** A box serves another pool from now on. @param box Which. @param service The pool. */
@@ -168,7 +168,7 @@
 
 	[[nodiscard]] bool Reaches(const BoxReport &box) const;
 	void Send(const BoxReport &box, std::function<OrderAnswer()> work, Done done);
-	void Poll(const BoxReport &box, const LeaseOrder &order, Millis until, const BoxLife &taken_by,
+	void Poll(const BoxReport &box, const LeaseOrder &order, Millis until, const BoxIncarnation &taken_by,
 			  const std::function<void(LeaseAnswer)> &done);
 };
 
--- a/src/store/keyed_follower.h
+++ b/src/store/keyed_follower.h
@@ -45,10 +45,10 @@
 	[[nodiscard]] bool Loaded() const { return this->loaded; }
 
 	/** @return When the last answered question was sent: everything appended before is known. */
-	[[nodiscard]] Millis FreshAt() const { return this->fresh_at; }
+	[[nodiscard]] Millis CurrentAsOf() const { return this->fresh_at; }
 
 	/** @return When the last answer came. */
-	[[nodiscard]] Millis HeardAt() const { return this->heard_at; }
+	[[nodiscard]] Millis LastAnswerAt() const { return this->heard_at; }
 
 	OnRecord on_record;              ///< Gets each record.
 	std::function<void()> on_batch;  ///< Told after the records of an answer.
@@ -64,8 +64,8 @@
 	std::optional<uint64_t> first_end;                          ///< End told by the first page of a load.
 	std::set<std::string> keys;                                 ///< Keys that have a value.
 	std::set<std::string> loading;                              ///< Keys seen by the load under way.
-	Millis fresh_at;                                            ///< For FreshAt().
-	Millis heard_at;                                            ///< For HeardAt().
+	Millis fresh_at;                                            ///< For CurrentAsOf().
+	Millis heard_at;                                            ///< For LastAnswerAt().
 	TimerId timer;                                              ///< Next question.
 	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
 
--- a/src/upkeep/fleet_owner.h
+++ b/src/upkeep/fleet_owner.h
@@ -12,10 +12,10 @@
 
 /** What the owner of a pool is told with a question. */
 struct PoolRequest {
-	std::set<BoxName> drain; ///< Boxes to be emptied, until the next question or for a short time.
-	std::set<BoxName> due;   ///< Boxes that will be emptied later.
-	std::set<BoxLife> ended; ///< Lives that have ended for certain.
-	ShareLoan loan;          ///< What the ledger of shares lends the service.
+	std::set<BoxName> drain;        ///< Boxes to be emptied, until the next question or for a short time.
+	std::set<BoxName> due;          ///< Boxes that will be emptied later.
+	std::set<BoxIncarnation> ended; ///< Lives that have ended for certain.
+	ShareLoan loan;                 ///< What the ledger of shares lends the service.
 };
 
 /** Asks the owners of pools. */
--- a/src/upkeep/life_watch.cpp
+++ b/src/upkeep/life_watch.cpp
@@ -15,7 +15,7 @@
 {
 	for (const PoolStatus &pool : pools | std::views::values) {
 		std::ranges::for_each(pool.boxes, [this](const PoolBox &it) {
-			BoxLife &newest = this->known[it.life.id];
+			BoxIncarnation &newest = this->known[it.life.id];
 			newest = std::max(newest, it.life);
 		});
 	}
@@ -47,9 +47,9 @@
 	return fresh;
 }
 
-std::set<BoxLife> LifeWatch::EndedIn(const ServiceName &pool) const
+std::set<BoxIncarnation> LifeWatch::EndedIn(const ServiceName &pool) const
 {
-	std::set<BoxLife> out;
+	std::set<BoxIncarnation> out;
 	for (const Ended &it : this->ended) {
 		if (it.pool == pool) {
 			out.insert(it.life);
--- a/src/upkeep/life_watch.h
+++ b/src/upkeep/life_watch.h
@@ -22,7 +22,7 @@
 	 * @return Pools of the lives that have ended since. */
 	std::set<ServiceName> Take(const std::vector<MachineRow> &rows, Millis now);
 	/** @return Lives of a pool that have ended lately. @param pool The pool. */
-	[[nodiscard]] std::set<BoxLife> EndedIn(const ServiceName &pool) const;
+	[[nodiscard]] std::set<BoxIncarnation> EndedIn(const ServiceName &pool) const;
 
 private:
 	/** An agent that was listed. */
@@ -33,14 +33,15 @@
 
 	/** A life that has ended. */
 	struct Ended {
-		BoxLife life;     ///< It.
-		ServiceName pool; ///< Pool that its machine was in.
-		Millis at;        ///< When it was first missed.
+		BoxIncarnation life; ///< It.
+		ServiceName pool;    ///< Pool that its machine was in.
+		Millis at;           ///< When it was first missed.
 	};
 
 	std::map<BoxName, Listed> last; ///< Agent listed last, by machine.
-	std::map<BoxId, BoxLife> known; ///< Newest lives that owners have told of before the last list was asked for.
-	std::vector<Ended> ended;       ///< Lives that have ended lately.
+	std::map<BoxId, BoxIncarnation>
+			known;            ///< Newest lives that owners have told of before the last list was asked for.
+	std::vector<Ended> ended; ///< Lives that have ended lately.
 };
 
 #endif /* LIFE_WATCH_H */
--- a/tests/job_world.h
+++ b/tests/job_world.h
@@ -16,8 +16,8 @@
 public:
 	void Start(SiteFeedEvents &) override {}
 	void WatchBoxes(bool) override {}
-	[[nodiscard]] Millis FreshAt() const override { return Millis(0); }
-	[[nodiscard]] Millis HeardAt() const override { return Millis(0); }
+	[[nodiscard]] Millis CurrentAsOf() const override { return Millis(0); }
+	[[nodiscard]] Millis LastAnswerAt() const override { return Millis(0); }
 	void Confirm(std::function<void(bool)> done) override { done(true); }
 	[[nodiscard]] uint64_t ConfigVersion() const override { return 0; }
 	[[nodiscard]] const std::string &ConfigBody() const override { return this->body; }
@@ -31,7 +31,7 @@
 public:
 	explicit WorldAdvisor(VirtualScheduler &clock) : clock(clock) {}
 
-	void Ask(const StepId &step, const std::vector<BoxLife> &boxes, std::function<void(Advice)> done) override
+	void Ask(const StepId &step, const std::vector<BoxIncarnation> &boxes, std::function<void(Advice)> done) override
 	{
 		this->asked += boxes.size();
 		if (this->silent) {
@@ -39,7 +39,7 @@
 			return;
 		}
 		Advice advice{ResultCode::RC_OK, {}, VALID};
-		for (const BoxLife &it : boxes) {
+		for (const BoxIncarnation &it : boxes) {
 			if (this->Allows(it)) {
 				advice.tickets[it] = step.job.Value() + "/" + std::to_string(step.step) + "@" +
 									 std::to_string((this->clock.Now() + VALID).Value());
@@ -57,7 +57,7 @@
 	}
 
 	/** @return Whether the policy allows a box. @param life The box. */
-	static bool Allows(const BoxLife &life) { return life.id.Value().find("box0") != std::string::npos; }
+	static bool Allows(const BoxIncarnation &life) { return life.id.Value().find("box0") != std::string::npos; }
 
 	bool silent = false; ///< Whether it doesn't answer.
 	size_t asked = 0;    ///< Boxes that it was asked about.
@@ -78,8 +78,8 @@
 			: scheduler(clock), log(this->scheduler, clock, store), orders(this->scheduler, clock, site),
 			  member(this->scheduler, this->log, this->events,
 					 GroupSpec{NODE_GROUP, GroupPeer{name, cpu}, NODE_TOPIC, Millis(1500), PARTS}),
-			  host(OwnerParts{this->scheduler, this->log, this->orders, this->events, name, ShardLimits{}, advisor,
-							  NODE_GROUP},
+			  host(ShardOwnerContext{this->scheduler, this->log, this->orders, this->events, name, ShardLimits{},
+									 advisor, NODE_GROUP},
 				   this->member, this->feed, PARTS),
 			  lookup(this->scheduler, this->log, this->events),
 			  desk(this->scheduler, this->log, this->host, this->lookup, this->events), name(name)
@@ -260,7 +260,7 @@
 	void TellEndedLives()
 	{
 		std::erase_if(this->ended, [this](const auto &it) { return this->clock.Now() - it.second > TOLD_FOR; });
-		std::set<BoxLife> lives;
+		std::set<BoxIncarnation> lives;
 		for (const BoxReport &report : this->site.Reports()) {
 			if (this->site.Down(report.box)) {
 				this->ended[report.life] = this->clock.Now();
@@ -324,7 +324,7 @@
 	std::set<BoxName> unlisted;                    ///< Boxes whose reports are missing.
 
 private:
-	std::map<BoxLife, Millis> ended; ///< Lives that were listed as ended, and when they last were.
+	std::map<BoxIncarnation, Millis> ended; ///< Lives that were listed as ended, and when they last were.
 
 	static constexpr size_t TRIES = 12;              ///< Times that a caller hands a job in.
 	static constexpr Millis RETRY = Millis(400);     ///< Before a caller tries again.
--- a/tests/owner/main.cpp
+++ b/tests/owner/main.cpp
@@ -94,7 +94,7 @@
 		for (const BoxReport &it : this->agents.Reports(SERVICE, ROOM)) {
 			this->shard.OnReport(it);
 		}
-		this->shard.OtherOwnersFor(Millis(0));
+		this->shard.SetEarlierLeaseSpan(Millis(0));
 		this->shard.Begin();
 		this->HandIn();
 	}
@@ -177,7 +177,7 @@
 			std::ranges::for_each(job.steps, [this](const StepSpec &it) { this->tasks_due -= it.count; });
 			const JobId id = job.id;
 			this->shard.Accept(IncomingRecord{KeyedRecord{'j' + id.Value(), EncodeSubmission(job)}, job,
-											  InboxName{id, AccountName(), false},
+											  InboxKey{id, AccountName(), false},
 											  [](ResultCode) { /* Nobody waits. */ }});
 		}
 		this->scheduler.After(ARRIVALS, [this] { this->HandIn(); });
--- a/tests/soak/soak_boxes.cpp
+++ b/tests/soak/soak_boxes.cpp
@@ -59,7 +59,7 @@
 {
 	QJsonObject json{{"clock-ms", static_cast<qint64>(this->ClockOf(box).Value())}};
 	status = answer.outcome == OrderOutcome::OO_DONE ? 200 : 409;
-	if (answer.outcome == OrderOutcome::OO_OTHER_LIFE) {
+	if (answer.outcome == OrderOutcome::OO_OTHER_INCARNATION) {
 		status = 421;
 	} else if (status != 200) {
 		json["reason"] = TextOf(ReasonWordOf(answer.outcome));
--- a/tests/test_accounts.cpp
+++ b/tests/test_accounts.cpp
@@ -163,8 +163,8 @@
 {
 	KeyWorld it;
 	REQUIRE(it.Call("POST", KEY_A, JOB) == 200);
-	const PartitionId inbox{TopicOf(ServiceName("calc")), INBOX_PART};
-	const std::string key = KeyOf(InboxName{JobId(JOB), AccountName("kaduna"), true});
+	const PartitionId inbox{TopicOf(ServiceName("calc")), INBOX_PARTITION};
+	const std::string key = KeyOf(InboxKey{JobId(JOB), AccountName("kaduna"), true});
 	it.node.log.Append(inbox, {KeyedRecord{key, std::string("1")}}, AppendCondition{}, Millis(500),
 					   [](const KeyedAppendAnswer &) { /* Looked at below. */ });
 	it.world.clock.RunUntil(it.world.clock.Now() + Millis(1500));
@@ -243,9 +243,9 @@
 	const auto after = DecodeSubmission(spec.id, EncodeSubmission(spec));
 	REQUIRE(after);
 	CHECK(*after == spec);
-	for (const InboxName &it : {InboxName{spec.id, {}, false}, InboxName{spec.id, spec.account, false},
-								InboxName{spec.id, {}, true}, InboxName{spec.id, AccountName("a/b x"), true}}) {
-		CHECK(InboxNameOf(KeyOf(it)) == it);
+	for (const InboxKey &it : {InboxKey{spec.id, {}, false}, InboxKey{spec.id, spec.account, false},
+							   InboxKey{spec.id, {}, true}, InboxKey{spec.id, AccountName("a/b x"), true}}) {
+		CHECK(ParseInboxKey(KeyOf(it)) == it);
 	}
 }
 
--- a/tests/test_config_exchange.cpp
+++ b/tests/test_config_exchange.cpp
@@ -30,8 +30,8 @@
 
 	void Start(SiteFeedEvents &) override {}
 	void WatchBoxes(bool) override {}
-	[[nodiscard]] Millis FreshAt() const override { return this->fresh_at; }
-	[[nodiscard]] Millis HeardAt() const override { return this->heard_at; }
+	[[nodiscard]] Millis CurrentAsOf() const override { return this->fresh_at; }
+	[[nodiscard]] Millis LastAnswerAt() const override { return this->heard_at; }
 	void Confirm(std::function<void(bool)> done) override
 	{
 		this->clock.After(READ, [this, done = std::move(done)] {
@@ -58,8 +58,8 @@
 	const Operator &published; ///< The store.
 	uint64_t version = 0;      ///< For ConfigVersion().
 	std::string body;          ///< For ConfigBody().
-	Millis fresh_at;           ///< For FreshAt().
-	Millis heard_at;           ///< For HeardAt().
+	Millis fresh_at;           ///< For CurrentAsOf().
+	Millis heard_at;           ///< For LastAnswerAt().
 	Millis asked_at;           ///< When its poll was sent.
 
 	void Learn(uint64_t newest)
--- a/tests/test_crashing_tasks.cpp
+++ b/tests/test_crashing_tasks.cpp
@@ -309,7 +309,7 @@
 			shard->Drain({box}, {});
 			world.clock.RunUntil(Millis(at + 1200));
 		} else {
-			std::ranges::for_each(world.nodes, [&](const auto &it) { it->host.OnReportGone(holding->first.id); });
+			std::ranges::for_each(world.nodes, [&](const auto &it) { it->host.OnReportRemoved(holding->first.id); });
 		}
 		world.site.Restart(box);
 		world.clock.RunUntil(Millis(at + 1900));
@@ -347,7 +347,7 @@
 	const WorldJob &job = world.Plan(Millis(2500), "calc", JobWorld::Chain(1), RUN_TIME);
 	world.TellEndedLives();
 	world.clock.RunUntil(CRASH_AT);
-	const BoxLife life =
+	const BoxIncarnation life =
 			std::as_const(world.OwnerOf(CALC)->host).Find(CALC)->Running()->Jobs().at(job.spec.id).tasks[0].box;
 	REQUIRE_FALSE(life.id.Value().empty());
 	world.site.Crash(BoxName(life.id.Value().substr(0, life.id.Value().find("-life"))));
--- a/tests/test_fleet_owner.cpp
+++ b/tests/test_fleet_owner.cpp
@@ -86,14 +86,14 @@
 			if (PoolOf(name) != service) {
 				continue;
 			}
-			out.boxes.push_back(PoolBox{BoxName(name), BoxLife{BoxId(name + "-1"), Millis(7)}, 0, 0, 8000,
+			out.boxes.push_back(PoolBox{BoxName(name), BoxIncarnation{BoxId(name + "-1"), Millis(7)}, 0, 0, 8000,
 										!request.drain.contains(BoxName(name))});
 		}
 		done(out);
 	}
 	void Publish(uint64_t, bool, std::function<void(bool)> done) override { done(true); }
 
-	std::set<BoxLife> ended; ///< Lives that owners were told of as ended.
+	std::set<BoxIncarnation> ended; ///< Lives that owners were told of as ended.
 
 private:
 	std::vector<std::string> names; ///< The boxes.
@@ -339,5 +339,5 @@
 	REQUIRE(world.pools.ended.empty());
 	world.machines.down = {"m1"};
 	world.clock.RunUntil(world.clock.Now() + Millis(400));
-	CHECK(world.pools.ended == std::set{BoxLife{BoxId("m1-1"), Millis(7)}});
+	CHECK(world.pools.ended == std::set{BoxIncarnation{BoxId("m1-1"), Millis(7)}});
 }
--- a/tests/test_job_matrix.cpp
+++ b/tests/test_job_matrix.cpp
@@ -304,13 +304,13 @@
 	void RemoveReport()
 	{
 		this->world.unlisted.insert(this->box);
-		EachNode(this->world, [this](WorldNode &it) { it.host.OnReportGone(this->life.id); });
+		EachNode(this->world, [this](WorldNode &it) { it.host.OnReportRemoved(this->life.id); });
 	}
 
 	JobWorld world;         ///< The world.
 	const WorldJob &job;    ///< The job.
 	Shard *shard = nullptr; ///< The owner's shard.
-	BoxLife life;           ///< Life of a box that runs one of the tasks.
+	BoxIncarnation life;    ///< Life of a box that runs one of the tasks.
 	BoxName box;            ///< Its box.
 };
 
--- a/tests/test_life_watch.cpp
+++ b/tests/test_life_watch.cpp
@@ -16,17 +16,17 @@
 	return MachineRow{BoxName("m0"), pool, state, ZoneName("z"), Resources{8000, 8000, 0}, BoxId(life)};
 }
 
-BoxLife Life(const std::string &id, int64_t born = 1)
+BoxIncarnation Life(const std::string &id, int64_t born = 1)
 {
-	return BoxLife{BoxId(id), Millis(born)};
+	return BoxIncarnation{BoxId(id), Millis(born)};
 }
 
 /** Lives as their owners know them. */
-std::map<ServiceName, PoolStatus> Known(const std::vector<BoxLife> &lives)
+std::map<ServiceName, PoolStatus> Known(const std::vector<BoxIncarnation> &lives)
 {
 	PoolStatus pool;
 	std::ranges::transform(lives, std::back_inserter(pool.boxes),
-						   [](const BoxLife &it) { return PoolBox{BoxName("m0"), it, 0, 0, 8000, true}; });
+						   [](const BoxIncarnation &it) { return PoolBox{BoxName("m0"), it, 0, 0, 8000, true}; });
 	return {{CALC, pool}};
 }
 
--- a/tests/test_other_writer.cpp
+++ b/tests/test_other_writer.cpp
@@ -64,7 +64,7 @@
 	void OnConfig(const JobConfig &) override {}
 	void OnWave(const WaveOrder &) override {}
 	void OnReport(const BoxReport &report) override { this->lives.insert(report.life.id.Value()); }
-	void OnReportGone(const BoxId &id) override { this->lives.erase(id.Value()); }
+	void OnReportRemoved(const BoxId &id) override { this->lives.erase(id.Value()); }
 
 	std::set<std::string> lives; ///< Them.
 };
--- a/tests/test_owner_work.cpp
+++ b/tests/test_owner_work.cpp
@@ -28,7 +28,7 @@
 		world.unlisted.insert(BoxName(box));
 		world.site.faults[BoxName(box)].dark = true;
 		for (const auto &node : world.nodes) {
-			node->host.OnReportGone(BoxId(box + "-life0"));
+			node->host.OnReportRemoved(BoxId(box + "-life0"));
 		}
 	}
 	world.clock.RunUntil(Millis(5000)); /* The orders under way end. */
@@ -56,7 +56,7 @@
 	const Shard *shard = std::as_const(owner->host).Find(ServiceName("calc"))->Running();
 	for (int n = 0; n < 4; n++) {
 		world.unlisted.insert(BoxName("calc-box" + std::to_string(n)));
-		owner->host.OnReportGone(BoxId("calc-box" + std::to_string(n) + "-life0"));
+		owner->host.OnReportRemoved(BoxId("calc-box" + std::to_string(n) + "-life0"));
 	}
 	/* The order that tells them waits up to a second for another end. */
 	world.clock.RunUntil(Millis(4500));
@@ -67,7 +67,7 @@
 
 namespace {
 
-const BoxLife ASKED{BoxId("i-1"), Millis(1700000000123)}; ///< The life that an order was sent to.
+const BoxIncarnation ASKED{BoxId("i-1"), Millis(1700000000123)}; ///< The life that an order was sent to.
 
 } // namespace
 
@@ -113,9 +113,9 @@
 	reply.result = CallResult::CR_ANSWERED;
 	reply.status = 200;
 	reply.body = R"({"clock-ms":12,"born":1700000009000,"running":[],"finished":[]})";
-	CHECK(ReadLeaseAnswer(reply, ASKED).order.life == BoxLife{ASKED.id, Millis(1700000009000)});
+	CHECK(ReadLeaseAnswer(reply, ASKED).order.life == BoxIncarnation{ASKED.id, Millis(1700000009000)});
 	/* A box that reports no start is known by its id alone. */
-	CHECK_FALSE(ReadLeaseAnswer(reply, BoxLife{ASKED.id, Millis(0)}).order.life);
+	CHECK_FALSE(ReadLeaseAnswer(reply, BoxIncarnation{ASKED.id, Millis(0)}).order.life);
 	reply.body = R"({"clock-ms":12,"running":[],"finished":[]})";
 	CHECK_FALSE(ReadLeaseAnswer(reply, ASKED).order.life);
 }
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -49,7 +49,7 @@
 	CHECK(report->leaving);
 	CHECK(report->time_left == Millis(900));
 	CHECK(report->rack == RackName("r1-3"));
-	CHECK(report->life == BoxLife{BoxId("i-1"), Millis(0)});
+	CHECK(report->life == BoxIncarnation{BoxId("i-1"), Millis(0)});
 	CHECK(!DecodeReport(BoxId("i-1"), "{}"));
 }
 
@@ -62,7 +62,7 @@
 	};
 	const std::optional<BoxReport> report = DecodeReport(BoxId("i-1"), bytes("1700000000123"));
 	REQUIRE(report);
-	CHECK(report->life == BoxLife{BoxId("i-1"), Millis(1700000000123)});
+	CHECK(report->life == BoxIncarnation{BoxId("i-1"), Millis(1700000000123)});
 	CHECK(ContentOf(bytes("1700000000123")) != ContentOf(bytes("1700000000124")));
 	for (const char *born : {"\"x\"", "-1", "1.5", "null", "[]"}) {
 		CHECK_FALSE(DecodeReport(BoxId("i-1"), bytes(born)));
@@ -117,9 +117,9 @@
 	progress.phase = JobPhase::JP_RUNNING;
 	progress.route = RouteName("r");
 	progress.changed = Millis(5);
-	progress.tasks = {
-			StoredTask{TaskPhase::TP_PLACED, RunNumber(2), 1, BoxLife{BoxId("i-1"), Millis(1700000000123)}, "saved"},
-			StoredTask{}};
+	progress.tasks = {StoredTask{TaskPhase::TP_PLACED, RunNumber(2), 1,
+								 BoxIncarnation{BoxId("i-1"), Millis(1700000000123)}, "saved"},
+					  StoredTask{}};
 	CHECK(DecodeProgress(EncodeProgress(progress)) == progress);
 	const StoredOwner owner{9, "10.0.0.1:7060", true, Millis(1200)};
 	CHECK(DecodeOwner(EncodeOwner(owner)) == owner);
--- a/tests/test_silent_partition.cpp
+++ b/tests/test_silent_partition.cpp
@@ -91,7 +91,7 @@
 	Mute(world, JOURNAL, true);
 	const WorldJob &job = world.Plan(Millis(0), "calc", JobWorld::Chain(2), Millis(300));
 	world.clock.RunUntil(SETTLED + Millis(2000));
-	const std::string key = PROGRESS_MARK + job.spec.id.Value();
+	const std::string key = PROGRESS_PREFIX + job.spec.id.Value();
 	const auto held = [&world](const PartitionId &partition, const std::string &name) {
 		return std::ranges::count(world.store.Newest(partition, {}).records, name, &KeyedRecord::key);
 	};
--- a/tests/test_upkeep.cpp
+++ b/tests/test_upkeep.cpp
@@ -39,7 +39,7 @@
 
 	void Add(const std::string &box, const std::string &pool)
 	{
-		const BoxLife life{BoxId(box + "-1"), Millis(1)};
+		const BoxIncarnation life{BoxId(box + "-1"), Millis(1)};
 		this->view.machines.push_back(MachineRow{BoxName(box), ServiceName(pool), MachineState::MS_UP, ZoneName("z"),
 												 Resources{CPU, 1000, 0}, life.id});
 		if (pool != "off") {
