--- a/src/bench/holder_bench.cpp
+++ b/src/bench/holder_bench.cpp
@@ -47,8 +47,8 @@
 double MeasureLook(size_t boxes)
 {
 	const FleetView view = ViewOf(boxes);
-	WaveDesk waves((WaveLimits()));
-	PoolDesk pools((PoolLimits()));
+	WavePlanner waves((WaveLimits()));
+	PoolBalancer pools((PoolLimits()));
 	WaveOrder order;
 	order.number = 1;
 	order.within = Millis(MS_PER_HOUR);
@@ -60,7 +60,7 @@
 	const auto begun = Clock::now();
 	for (int n = 1; n <= LOOKS; n++) {
 		const Millis now(n * LOOK_EVERY.Value());
-		waves.LeaveAlone(pools.Taken());
+		waves.SetExcluded(pools.Taken());
 		waves.Decide(view, now);
 		pools.Decide(view, waves.Taken(), now);
 	}
--- a/src/bench/jobs_bench.cpp
+++ b/src/bench/jobs_bench.cpp
@@ -43,7 +43,7 @@
 			  writer(this->clock, this->log, "keeper", Incarnation(1))
 	{
 		this->log.faults.delay = LOG_DELAY;
-		this->policy.drain_patience = Millis(MS_PER_HOUR);
+		this->policy.drain_grace = Millis(MS_PER_HOUR);
 	}
 
 	/** Sets the fleet up, fills it with batch jobs of all teams, submits urgent ones, cancels a wave. */
--- a/src/bench/optimum_bench.cpp
+++ b/src/bench/optimum_bench.cpp
@@ -78,7 +78,7 @@
 uint32_t OurMoves(const Small &small, std::vector<uint32_t> assignment, bool &arrived)
 {
 	PlannerPolicy policy = GreenhousePolicy();
-	policy.blocked_patience = Millis(0);
+	policy.blocked_lead = Millis(0);
 	uint32_t moves = 0;
 	for (int step = 0; step < MOST_STEPS; step++) {
 		PoolDraft draft;
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -231,9 +231,9 @@
 void NodeCore::BeginFleet()
 {
 	this->fleet = std::make_unique<FleetOwner>(
-			FleetParts{this->scheduler, this->links.log, this->links.machines, this->links.reports, *this,
-					   this->links.events, this->self.name, this->self.frames, this->self.turn_gap, NODE_GROUP,
-					   [this] { return this->FleetDealt(); }, [this] { return this->FleetWatched(); }});
+			FleetOwnerContext{this->scheduler, this->links.log, this->links.machines, this->links.reports, *this,
+							  this->links.events, this->self.name, this->self.frames, this->self.turn_gap, NODE_GROUP,
+							  [this] { return this->FleetDealt(); }, [this] { return this->FleetWatched(); }});
 	this->fleet->on_lost = [this] {
 		/* Not from inside its own call. The record tells whether another holder came. */
 		this->scheduler.After(Millis(0), [this] {
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -27,13 +27,13 @@
 	BoxOrders &orders;                   ///< Boxes.
 	SiteFeed &feed;                      ///< What is published.
 	MachineControl &machines;            ///< Machines.
-	WaveReports &reports;                ///< For operators.
+	WaveReporter &reports;               ///< For operators.
 	EventLog &events;                    ///< Lines.
 	PlacementAdvisor *advisor = nullptr; ///< Policies of routes; null when there are none.
 };
 
 /** The node without its transport to callers. */
-class NodeCore : public SiteFeedEvents, public PoolOwners {
+class NodeCore : public SiteFeedEvents, public PoolOwnerClient {
 public:
 	/**
 	 * @param scheduler Clock and timers.
--- a/src/planner/job_plan.cpp
+++ b/src/planner/job_plan.cpp
@@ -234,7 +234,7 @@
 		}
 		const auto it = fleet.boxes.find(job.box);
 		const bool draining = it != fleet.boxes.end() && it->second.state == BoxState::BS_DRAINING;
-		if (draining && it->second.since + policy.drain_patience <= fleet.time) {
+		if (draining && it->second.since + policy.drain_grace <= fleet.time) {
 			stop.push_back(name);
 		}
 	}
--- a/src/planner/planner_type.h
+++ b/src/planner/planner_type.h
@@ -16,12 +16,12 @@
 	Millis cycle = Millis(21 * MS_PER_DAY);     ///< Every box is maintained once in this time.
 	Millis lead = Millis(21 * MS_PER_DAY);      ///< How long before its deadline a box may be taken.
 	Millis idle_lead = Millis(21 * MS_PER_DAY); ///< The same for a box that runs no job: it costs no job move.
-	Millis drain_patience = Millis(0);          ///< How long jobs of a draining box may end by themselves.
+	Millis drain_grace = Millis(0);             ///< How long jobs of a draining box may end by themselves.
 	uint32_t move_gain_percent = 25;            ///< Deviation from its weight's share that is worth moving a box.
 	uint32_t moves_at_once = 4;                 ///< Boxes on the move at once.
 	uint32_t spare_boxes = 1;                   ///< Boxes a pool should be able to spare, where boxes are first placed.
-	Millis failure_patience = Millis(0); ///< A failed box counts as coming back for so long: no box moves for it.
-	Millis blocked_patience = Millis(0); ///< Time to the deadline at which a pool that can't spare a box gets one.
+	Millis failure_grace = Millis(0);    ///< A failed box counts as coming back for so long: no box moves for it.
+	Millis blocked_lead = Millis(0);     ///< Time to the deadline at which a pool that can't spare a box gets one.
 	uint32_t urgent_reserve_percent = 2; ///< Room for jobs that only urgent ones may take.
 	uint32_t zones_at_once = 1;          ///< Availability zones of a pool that may be under maintenance at once.
 };
--- a/src/planner/pool_plan.cpp
+++ b/src/planner/pool_plan.cpp
@@ -324,7 +324,7 @@
 	/** @return A pool as it will be when what is under way has ended. */
 	[[nodiscard]] PoolPicture Later(const PoolPicture &pool) const
 	{
-		return WithArrivals(this->draft, pool, this->now - this->policy.failure_patience);
+		return WithArrivals(this->draft, pool, this->now - this->policy.failure_grace);
 	}
 
 	/** @return What a pool has over its demand and guards, in slots. */
@@ -406,7 +406,7 @@
 	if (broken && nothing_comes) {
 		return true;
 	}
-	const Millis soon = context.now + context.policy.blocked_patience;
+	const Millis soon = context.now + context.policy.blocked_lead;
 	const auto waits = [&](const Box &box) {
 		const Millis last = std::max(box.last_maintained, box.registered);
 		return box.purpose == PermitPurpose::PP_NONE && last + context.policy.cycle < soon;
--- a/src/planner/wave_plan.cpp
+++ b/src/planner/wave_plan.cpp
@@ -222,20 +222,20 @@
 	PlannerPolicy policy;
 	policy.lead = Millis(4 * MS_PER_DAY);
 	policy.idle_lead = Millis(21 * MS_PER_DAY);
-	policy.drain_patience = Millis(4 * MS_PER_HOUR);
+	policy.drain_grace = Millis(4 * MS_PER_HOUR);
 	policy.move_gain_percent = 100;
-	policy.failure_patience = Millis(12 * MS_PER_HOUR);
-	policy.blocked_patience = Millis(5 * MS_PER_DAY);
+	policy.failure_grace = Millis(12 * MS_PER_HOUR);
+	policy.blocked_lead = Millis(5 * MS_PER_DAY);
 	return policy;
 }
 
 PlannerPolicy LindeboomPolicy()
 {
 	PlannerPolicy policy;
-	policy.drain_patience = Millis(10 * 60 * MS_PER_SECOND);
+	policy.drain_grace = Millis(10 * 60 * MS_PER_SECOND);
 	policy.move_gain_percent = 50;
-	policy.failure_patience = Millis(1 * MS_PER_HOUR);
-	policy.blocked_patience = Millis(7 * MS_PER_DAY);
+	policy.failure_grace = Millis(1 * MS_PER_HOUR);
+	policy.blocked_lead = Millis(7 * MS_PER_DAY);
 	policy.zones_at_once = UINT32_MAX;
 	return policy;
 }
--- a/src/standin/memory/fleet_site.cpp
+++ b/src/standin/memory/fleet_site.cpp
@@ -15,12 +15,12 @@
 PlannerPolicy SitePolicy()
 {
 	PlannerPolicy policy = LindeboomPolicy();
-	policy.drain_patience = Millis(1000);
+	policy.drain_grace = Millis(1000);
 	policy.cycle = Millis(MS_PER_HOUR);
 	policy.lead = Millis(MS_PER_HOUR);
 	policy.idle_lead = Millis(MS_PER_HOUR);
-	policy.blocked_patience = Millis(MS_PER_HOUR);
-	policy.failure_patience = Millis(5 * MS_PER_SECOND);
+	policy.blocked_lead = Millis(MS_PER_HOUR);
+	policy.failure_grace = Millis(5 * MS_PER_SECOND);
 	return policy;
 }
 
--- a/src/upkeep/fleet_owner.cpp
+++ b/src/upkeep/fleet_owner.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-FleetOwner::FleetOwner(const FleetParts &parts)
+FleetOwner::FleetOwner(const FleetOwnerContext &parts)
 		: parts(parts), desk(WaveLimits{}), movers(PoolLimits{}), turns(parts.turn_gap + TURN_SLACK)
 {
 }
@@ -64,8 +64,8 @@
 
 void FleetOwner::Restore(const std::string &key, const std::string &value)
 {
-	if (TurnLog::Owns(key)) {
-		this->turns.Inherit(key, value, this->parts.scheduler.Now());
+	if (OrderLog::Owns(key)) {
+		this->turns.RestoreOrder(key, value, this->parts.scheduler.Now());
 		return;
 	}
 	if (ShareLedger::Owns(key)) {
@@ -153,7 +153,7 @@
 
 void FleetOwner::Look()
 {
-	this->lives.NoteKnown(this->view.pools);
+	this->lives.RecordKnown(this->view.pools);
 	this->view.pools.clear();
 	this->view.reserves.clear();
 	this->pending = 1;
@@ -266,7 +266,7 @@
 {
 	const Millis now = this->parts.scheduler.Now();
 	this->NotePools();
-	this->desk.LeaveAlone(this->movers.Taken());
+	this->desk.SetExcluded(this->movers.Taken());
 	this->actions = this->desk.Decide(this->view, now);
 	const PoolActions moves = this->movers.Decide(this->view, this->desk.Taken(), now);
 	for (const auto &[pool, boxes] : moves.drain) {
@@ -279,7 +279,7 @@
 	for (const PoolMove &it : moves.moves) {
 		this->Plan(planned, it.box, std::nullopt, it.to);
 	}
-	const bool tidy = this->turns.Stale(now) && !this->journal->Busy();
+	const bool tidy = this->turns.HasExpired(now) && !this->journal->Busy();
 	if (!this->recording && (!planned.empty() || tidy)) {
 		this->Record(planned);
 	}
@@ -302,7 +302,7 @@
 	const Millis sent = this->parts.scheduler.Now();
 	this->recording = true;
 	this->journal->Append(
-			this->turns.Note(boxes, sent), [this, planned, sent, still = std::weak_ptr<bool>(this->alive)] {
+			this->turns.RecordOrders(boxes, sent), [this, planned, sent, still = std::weak_ptr<bool>(this->alive)] {
 				if (still.expired()) {
 					return;
 				}
@@ -327,7 +327,7 @@
 void FleetOwner::Move(const MachineRow &row, const ServiceName &to)
 {
 	const PoolMove move{row.box, to};
-	this->movers.Ordered(move, this->parts.scheduler.Now());
+	this->movers.RecordOrder(move, this->parts.scheduler.Now());
 	this->parts.events.Write("move_ordered", {{"box", move.box.Value()},
 											  {"from", row.pool.Value()},
 											  {"to", move.to.Value()},
@@ -351,7 +351,7 @@
 
 void FleetOwner::Maintain(const MachineRow &row, uint64_t wave)
 {
-	this->desk.Ordered(row.box, wave, row.id, this->parts.scheduler.Now());
+	this->desk.RecordOrder(row.box, wave, row.id, this->parts.scheduler.Now());
 	this->parts.events.Write("maintenance_ordered", {{"box", row.box.Value()},
 													 {"wave", std::to_string(wave)},
 													 {"pool", row.pool.Value()},
@@ -399,7 +399,7 @@
 			return;
 		}
 		this->parts.events.Write("wave_completed", {{"wave", std::to_string(wave)}});
-		this->desk.Reported(wave);
+		this->desk.MarkReported(wave);
 		this->journal->Append({KeyedRecord{std::to_string(wave), std::string("completed")}}, [] {
 			/* Nothing waits for it: without the record, the next owner reports once more. */
 		});
--- a/src/upkeep/fleet_owner.h
+++ b/src/upkeep/fleet_owner.h
@@ -19,9 +19,9 @@
 };
 
 /** Asks the owners of pools. */
-class PoolOwners {
+class PoolOwnerClient {
 public:
-	virtual ~PoolOwners() = default;
+	virtual ~PoolOwnerClient() = default;
 
 	/** Asks how a pool stands and has boxes emptied. @param service The pool. @param request What its owner is told.
 	 * @param done Gets the status, or nothing when the owner didn't answer. */
@@ -30,12 +30,12 @@
 };
 
 /** What the fleet's owner needs of its node. */
-struct FleetParts {
+struct FleetOwnerContext {
 	Scheduler &scheduler;                    ///< Clock and timers.
 	KeyedLog &log;                           ///< The log.
 	MachineControl &machines;                ///< Machines.
-	WaveReports &reports;                    ///< For operators.
-	PoolOwners &pools;                       ///< Owners of pools.
+	WaveReporter &reports;                   ///< For operators.
+	PoolOwnerClient &pools;                  ///< Owners of pools.
 	EventLog &events;                        ///< Lines.
 	std::string name;                        ///< This node, as holder of orders.
 	std::string address;                     ///< Where it answers others.
@@ -49,7 +49,7 @@
 class FleetOwner {
 public:
 	/** @param parts What it needs; outlives this. */
-	explicit FleetOwner(const FleetParts &parts);
+	explicit FleetOwner(const FleetOwnerContext &parts);
 	~FleetOwner();
 	FleetOwner(const FleetOwner &) = delete;
 	FleetOwner &operator=(const FleetOwner &) = delete;
@@ -77,17 +77,17 @@
 		ServiceName to;               ///< Where to, for a move.
 	};
 
-	FleetParts parts;                                           ///< What it needs.
+	FleetOwnerContext parts;                                    ///< What it needs.
 	JobConfig config;                                           ///< The configuration in force.
-	WaveDesk desk;                                              ///< Decides on waves.
-	PoolDesk movers;                                            ///< Decides on moves.
+	WavePlanner desk;                                           ///< Decides on waves.
+	PoolBalancer movers;                                        ///< Decides on moves.
 	FleetView view;                                             ///< What is known.
-	LifeWatch lives;                                            ///< Which boxes have crashed.
+	IncarnationTracker lives;                                   ///< Which boxes have crashed.
 	std::unique_ptr<PartitionClaim> claim;                      ///< The claim.
 	std::unique_ptr<PairedJournal> journal;                     ///< Records, once claimed.
 	FenceToken fence;                                           ///< Token of this ownership.
 	uint64_t epoch = 0;                                         ///< Of the claim.
-	TurnLog turns;                                              ///< Boxes with recent orders.
+	OrderLog turns;                                             ///< Boxes with recent orders.
 	ShareLedger ledger;                                         ///< What services may use of accounts' maxima.
 	bool lending = false;                                       ///< Whether what it decided is being recorded.
 	bool recording = false;                                     ///< Whether orders wait for their record.
--- a/src/upkeep/life_watch.cpp
+++ b/src/upkeep/life_watch.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-void LifeWatch::NoteKnown(const std::map<ServiceName, PoolStatus> &pools)
+void IncarnationTracker::RecordKnown(const std::map<ServiceName, PoolStatus> &pools)
 {
 	for (const PoolStatus &pool : pools | std::views::values) {
 		std::ranges::for_each(pool.boxes, [this](const PoolBox &it) {
@@ -21,7 +21,7 @@
 	}
 }
 
-std::set<ServiceName> LifeWatch::Take(const std::vector<MachineRow> &rows, Millis now)
+std::set<ServiceName> IncarnationTracker::Take(const std::vector<MachineRow> &rows, Millis now)
 {
 	std::erase_if(this->ended, [now](const Ended &it) { return now - it.at > TOLD_FOR; });
 	std::set<ServiceName> fresh;
@@ -47,7 +47,7 @@
 	return fresh;
 }
 
-std::set<BoxIncarnation> LifeWatch::EndedIn(const ServiceName &pool) const
+std::set<BoxIncarnation> IncarnationTracker::EndedIn(const ServiceName &pool) const
 {
 	std::set<BoxIncarnation> out;
 	for (const Ended &it : this->ended) {
--- a/src/upkeep/life_watch.h
+++ b/src/upkeep/life_watch.h
@@ -14,10 +14,10 @@
  * tells it at once: a machine that is down runs nothing. The list names agents by their ids alone, and an agent may
  * start again under its id: so only the life that its owner knew before the list was asked for is told to have ended.
  */
-class LifeWatch {
+class IncarnationTracker {
 public:
 	/** Takes the lives that owners know, before the next list is asked for. @param pools As they have told. */
-	void NoteKnown(const std::map<ServiceName, PoolStatus> &pools);
+	void RecordKnown(const std::map<ServiceName, PoolStatus> &pools);
 	/** Takes a list. @param rows The machines, asked for after the list before was answered. @param now The time.
 	 * @return Pools of the lives that have ended since. */
 	std::set<ServiceName> Take(const std::vector<MachineRow> &rows, Millis now);
--- a/src/upkeep/machine_control.h
+++ b/src/upkeep/machine_control.h
@@ -6,10 +6,10 @@
 
 /** What a machine does. */
 enum class MachineState : uint8_t {
-	MS_UP = 0,     ///< Serves its pool, or stands by in the reserve.
-	MS_MOVING = 1, ///< On its way to another pool.
-	MS_UPKEEP = 2, ///< Being maintained.
-	MS_DOWN = 3,   ///< Down.
+	MS_UP = 0,          ///< Serves its pool, or stands by in the reserve.
+	MS_MOVING = 1,      ///< On its way to another pool.
+	MS_MAINTENANCE = 2, ///< Being maintained.
+	MS_DOWN = 3,        ///< Down.
 };
 
 /** A machine, as its control lists it. */
@@ -56,9 +56,9 @@
 };
 
 /** Tells operators how waves stand. */
-class WaveReports {
+class WaveReporter {
 public:
-	virtual ~WaveReports() = default;
+	virtual ~WaveReporter() = default;
 
 	/** Publishes the state of a wave. @param wave Which. @param completed Whether all of it has begun. @param done Gets
 	 * whether it is published. */
--- a/src/upkeep/pool_desk.cpp
+++ b/src/upkeep/pool_desk.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-void PoolDesk::NoteArrivals(const FleetIndex &index, Millis now)
+void PoolBalancer::NoteArrivals(const FleetIndex &index, Millis now)
 {
 	std::erase_if(this->leaving, [&](const auto &it) {
 		const MachineRow *row = index.Row(it.first);
@@ -21,14 +21,14 @@
 	});
 }
 
-std::set<BoxName> PoolDesk::Taken() const
+std::set<BoxName> PoolBalancer::Taken() const
 {
 	std::set<BoxName> out;
 	std::ranges::copy(this->leaving | std::views::keys, std::inserter(out, out.end()));
 	return out;
 }
 
-double PoolDesk::GrowthOf(const ServiceName &pool, double cpu, Millis now)
+double PoolBalancer::GrowthOf(const ServiceName &pool, double cpu, Millis now)
 {
 	const auto [it, first] = this->asked.try_emplace(pool, Asked{now, cpu, 0});
 	Asked &last = it->second;
@@ -41,7 +41,7 @@
 	return std::max(last.growth, 0.0);
 }
 
-int64_t PoolDesk::FloorOf(const FleetView &view) const
+int64_t PoolBalancer::FloorOf(const FleetView &view) const
 {
 	int64_t all = 0;
 	std::ranges::for_each(view.machines, [&all](const MachineRow &it) { all += it.capacity.cpu; });
@@ -49,8 +49,8 @@
 	return static_cast<int64_t>(static_cast<double>(all) / std::max(pools, 1.0) * this->limits.floor_share);
 }
 
-PoolDesk::Balance PoolDesk::BalanceOf(const ServiceName &pool, const PoolStatus &status, const FleetIndex &index,
-									  const std::set<BoxName> &taken)
+PoolBalancer::Balance PoolBalancer::BalanceOf(const ServiceName &pool, const PoolStatus &status,
+											  const FleetIndex &index, const std::set<BoxName> &taken)
 {
 	Balance balance;
 	balance.pool = pool;
@@ -74,8 +74,8 @@
 	return balance;
 }
 
-std::vector<PoolDesk::Balance> PoolDesk::Balances(const FleetView &view, const FleetIndex &index,
-												  const std::set<BoxName> &taken, Millis now)
+std::vector<PoolBalancer::Balance> PoolBalancer::Balances(const FleetView &view, const FleetIndex &index,
+														  const std::set<BoxName> &taken, Millis now)
 {
 	std::vector<Balance> out;
 	for (const auto &[service, status] : view.pools) {
@@ -97,12 +97,12 @@
 	return out;
 }
 
-void PoolDesk::Choose(const BoxName &box, const ServiceName &to, Millis now)
+void PoolBalancer::Choose(const BoxName &box, const ServiceName &to, Millis now)
 {
 	this->leaving[box] = Leaving{to, now, false};
 }
 
-bool PoolDesk::MayGive(const Balance &other, const Balance &needy, const PoolBox &box)
+bool PoolBalancer::MayGive(const Balance &other, const Balance &needy, const PoolBox &box)
 {
 	/* What can't be on time any more is done where there is room: it keeps no box from jobs that can be on time, and
 	 * gets none that another pool has use for. */
@@ -110,7 +110,7 @@
 	return other.have - box.cpu >= other.want + (on_time ? 0 : other.late);
 }
 
-void PoolDesk::TakeFrom(Balance &other, std::vector<const PoolBox *> &boxes, Balance &needy, Millis now)
+void PoolBalancer::TakeFrom(Balance &other, std::vector<const PoolBox *> &boxes, Balance &needy, Millis now)
 {
 	while (!boxes.empty() && needy.have < needy.want + needy.late && MayGive(other, needy, *boxes.back())) {
 		const PoolBox *box = boxes.back();
@@ -121,8 +121,8 @@
 	}
 }
 
-void PoolDesk::Supply(Balance &needy, std::vector<Balance> &all, const FleetView &view, const std::set<BoxName> &taken,
-					  Millis now)
+void PoolBalancer::Supply(Balance &needy, std::vector<Balance> &all, const FleetView &view,
+						  const std::set<BoxName> &taken, Millis now)
 {
 	/* From the reserve first: nobody misses those. */
 	for (const MachineRow &row : view.machines) {
@@ -147,7 +147,7 @@
 	}
 }
 
-int64_t PoolDesk::Unneeded(const std::vector<Balance> &all, Millis now)
+int64_t PoolBalancer::Unneeded(const std::vector<Balance> &all, Millis now)
 {
 	int64_t have = 0;
 	int64_t need = 0;
@@ -168,7 +168,7 @@
 	return known ? have - this->needs.front().cpu : 0;
 }
 
-void PoolDesk::SendAway(Balance &rich, const FleetView &view, int64_t &unneeded, Millis now)
+void PoolBalancer::SendAway(Balance &rich, const FleetView &view, int64_t &unneeded, Millis now)
 {
 	if (view.reserves.empty()) {
 		return;
@@ -184,7 +184,7 @@
 	}
 }
 
-PoolActions PoolDesk::Decide(const FleetView &view, const std::set<BoxName> &taken, Millis now)
+PoolActions PoolBalancer::Decide(const FleetView &view, const std::set<BoxName> &taken, Millis now)
 {
 	const FleetIndex index(view);
 	this->NoteArrivals(index, now);
@@ -217,12 +217,12 @@
 	return actions;
 }
 
-void PoolDesk::Ordered(const PoolMove &move, Millis now)
+void PoolBalancer::RecordOrder(const PoolMove &move, Millis now)
 {
 	this->leaving[move.box] = Leaving{move.to, now, true};
 }
 
-void PoolDesk::Answered(const PoolMove &move, const ServiceName &from, ControlOutcome outcome)
+void PoolBalancer::Answered(const PoolMove &move, const ServiceName &from, ControlOutcome outcome)
 {
 	if (outcome == ControlOutcome::CO_REJECTED) {
 		this->refused.emplace(from, move.to);
--- a/src/upkeep/pool_desk.h
+++ b/src/upkeep/pool_desk.h
@@ -33,16 +33,16 @@
 };
 
 /** Decides on moves. */
-class PoolDesk {
+class PoolBalancer {
 public:
 	/** @param limits Figures. */
-	explicit PoolDesk(PoolLimits limits) : limits(limits) {}
+	explicit PoolBalancer(PoolLimits limits) : limits(limits) {}
 
 	/** @return What to do now. @param view The fleet. @param taken Boxes that are not to be touched. @param now The
 	 * time. */
 	PoolActions Decide(const FleetView &view, const std::set<BoxName> &taken, Millis now);
 	/** An order is about to leave. @param move It. @param now The time. */
-	void Ordered(const PoolMove &move, Millis now);
+	void RecordOrder(const PoolMove &move, Millis now);
 	/** An order has ended. @param move It. @param from Pool before. @param outcome How. */
 	void Answered(const PoolMove &move, const ServiceName &from, ControlOutcome outcome);
 
--- a/src/upkeep/turn_log.cpp
+++ b/src/upkeep/turn_log.cpp
@@ -17,12 +17,12 @@
 
 } // namespace
 
-bool TurnLog::Owns(const std::string &key)
+bool OrderLog::Owns(const std::string &key)
 {
 	return key.starts_with(PREFIX);
 }
 
-void TurnLog::Inherit(const std::string &key, const std::string &value, Millis now)
+void OrderLog::RestoreOrder(const std::string &key, const std::string &value, Millis now)
 {
 	/* Without a time its holder didn't let go by itself: an order may have left just now. */
 	int64_t left = this->gap.Value();
@@ -33,18 +33,18 @@
 	turn.until = std::max(turn.until, until);
 }
 
-bool TurnLog::MayOrder(const BoxName &box, Millis now) const
+bool OrderLog::MayOrder(const BoxName &box, Millis now) const
 {
 	const auto it = this->turns.find(box);
 	return it == this->turns.end() || !it->second.other || now >= it->second.until;
 }
 
-bool TurnLog::Stale(Millis now) const
+bool OrderLog::HasExpired(Millis now) const
 {
 	return std::ranges::any_of(this->turns | std::views::values, [now](const Turn &it) { return now >= it.until; });
 }
 
-std::vector<KeyedRecord> TurnLog::Note(const std::set<BoxName> &boxes, Millis now)
+std::vector<KeyedRecord> OrderLog::RecordOrders(const std::set<BoxName> &boxes, Millis now)
 {
 	std::vector<KeyedRecord> records;
 	std::erase_if(this->turns, [&](const auto &it) {
@@ -61,7 +61,7 @@
 	return records;
 }
 
-std::vector<KeyedRecord> TurnLog::Release(Millis now) const
+std::vector<KeyedRecord> OrderLog::Release(Millis now) const
 {
 	std::vector<KeyedRecord> records;
 	for (const auto &[box, turn] : this->turns) {
--- a/src/upkeep/turn_log.h
+++ b/src/upkeep/turn_log.h
@@ -12,26 +12,26 @@
  * Orders of two holders for one box have to lie apart. So a holder records the boxes before its orders leave, and the
  * next one waits for these alone: 3.4 s without any order passed after each silent holder when it had to wait for all.
  */
-class TurnLog {
+class OrderLog {
 public:
 	/** @param gap Time between the last order of one holder for a box and the first of the next. */
-	explicit TurnLog(Millis gap) : gap(gap) {}
+	explicit OrderLog(Millis gap) : gap(gap) {}
 
 	/** @return Whether a record's key is one of these. @param key The key. */
 	static bool Owns(const std::string &key);
 	/** Takes over a record of the holder before. @param key Its key. @param value Its value. @param now When this
 	 * holder has claimed. */
-	void Inherit(const std::string &key, const std::string &value, Millis now);
+	void RestoreOrder(const std::string &key, const std::string &value, Millis now);
 	/** @return Whether a box may have an order of this holder. @param box The box. @param now The time. */
 	[[nodiscard]] bool MayOrder(const BoxName &box, Millis now) const;
 	/** Notes orders that are about to leave. @param boxes For which boxes. @param now The time.
 	 * @return What is to be recorded before: these boxes, and those whose record has had its time. */
-	std::vector<KeyedRecord> Note(const std::set<BoxName> &boxes, Millis now);
+	std::vector<KeyedRecord> RecordOrders(const std::set<BoxName> &boxes, Millis now);
 	/** Lets go: no order of this holder leaves any more. @param now The time. @return What is to be recorded: for how
 	 * long the next holder has to wait for each box. */
 	[[nodiscard]] std::vector<KeyedRecord> Release(Millis now) const;
 	/** @return Whether records have had their time. @param now The time. */
-	[[nodiscard]] bool Stale(Millis now) const;
+	[[nodiscard]] bool HasExpired(Millis now) const;
 
 private:
 	/** A box with an order. */
--- a/src/upkeep/wave_desk.cpp
+++ b/src/upkeep/wave_desk.cpp
@@ -10,18 +10,18 @@
 
 } // namespace
 
-void WaveDesk::Add(const WaveOrder &order, Millis now)
+void WavePlanner::Add(const WaveOrder &order, Millis now)
 {
 	this->waves.try_emplace(order.number, Wave{order, now});
 }
 
-bool WaveDesk::Active() const
+bool WavePlanner::Active() const
 {
 	return std::ranges::any_of(this->waves | std::views::keys,
 							   [this](uint64_t it) { return !this->completed.contains(it); });
 }
 
-bool WaveDesk::IsDue(const BoxName &box) const
+bool WavePlanner::IsDue(const BoxName &box) const
 {
 	return std::ranges::any_of(this->waves, [&](const auto &it) {
 		const auto done = this->begun.find(it.first);
@@ -31,7 +31,7 @@
 	});
 }
 
-void WaveDesk::NoteReturns(const FleetView &view, const FleetIndex &index, Millis now)
+void WavePlanner::NoteReturns(const FleetView &view, const FleetIndex &index, Millis now)
 {
 	for (auto &[box, order] : this->down) {
 		const MachineRow *row = index.Row(box);
@@ -48,7 +48,7 @@
 	});
 	/* Another owner of this desk may have ordered these. */
 	for (const MachineRow &row : view.machines) {
-		if (row.state == MachineState::MS_UPKEEP && !this->down.contains(row.box)) {
+		if (row.state == MachineState::MS_MAINTENANCE && !this->down.contains(row.box)) {
 			for (const auto &[number, wave] : this->waves) {
 				if (std::ranges::count(wave.order.boxes, row.box) > 0) {
 					this->down[row.box] = Down{number, row.id, now, true};
@@ -58,14 +58,14 @@
 	}
 }
 
-size_t WaveDesk::Taken(uint64_t wave) const
+size_t WavePlanner::Taken(uint64_t wave) const
 {
 	const auto emptied = std::ranges::count(this->draining | std::views::values, wave);
 	const auto gone = std::ranges::count(this->down | std::views::values, wave, &Down::wave);
 	return static_cast<size_t>(emptied + gone);
 }
 
-std::map<ServiceName, size_t> WaveDesk::TakenByPool(const FleetIndex &index) const
+std::map<ServiceName, size_t> WavePlanner::TakenByPool(const FleetIndex &index) const
 {
 	std::map<ServiceName, size_t> out;
 	const auto count = [&](const BoxName &it) {
@@ -78,7 +78,7 @@
 	return out;
 }
 
-WaveActions WaveDesk::Decide(const FleetView &view, Millis now)
+WaveActions WavePlanner::Decide(const FleetView &view, Millis now)
 {
 	const FleetIndex index(view);
 	this->NoteReturns(view, index, now);
@@ -96,7 +96,7 @@
 	return actions;
 }
 
-std::vector<const MachineRow *> WaveDesk::OpenOf(const Wave &wave, const FleetIndex &index, WaveActions &actions)
+std::vector<const MachineRow *> WavePlanner::OpenOf(const Wave &wave, const FleetIndex &index, WaveActions &actions)
 {
 	const std::set<BoxName> &done = this->begun[wave.order.number];
 	std::vector<const MachineRow *> open;
@@ -121,8 +121,8 @@
 	return open;
 }
 
-void WaveDesk::Empty(const Wave &wave, const std::vector<const MachineRow *> &open, const FleetView &view,
-					 const FleetIndex &index, Millis now, WaveActions &actions)
+void WavePlanner::Empty(const Wave &wave, const std::vector<const MachineRow *> &open, const FleetView &view,
+						const FleetIndex &index, Millis now, WaveActions &actions)
 {
 	const bool late = now - wave.since >
 					  Millis(static_cast<int64_t>(static_cast<double>(wave.order.within.Value()) * LATE_AFTER));
@@ -142,8 +142,8 @@
 	}
 }
 
-void WaveDesk::DecideWave(const Wave &wave, const FleetView &view, const FleetIndex &index, Millis now,
-						  WaveActions &actions)
+void WavePlanner::DecideWave(const Wave &wave, const FleetView &view, const FleetIndex &index, Millis now,
+							 WaveActions &actions)
 {
 	std::vector<const MachineRow *> open = this->OpenOf(wave, index, actions);
 	/* Boxes that are off come first, then those with the least to move. */
@@ -164,7 +164,7 @@
 	}
 }
 
-std::set<BoxName> WaveDesk::Taken() const
+std::set<BoxName> WavePlanner::Taken() const
 {
 	std::set<BoxName> out;
 	std::ranges::copy(this->draining | std::views::keys, std::inserter(out, out.end()));
@@ -172,13 +172,13 @@
 	return out;
 }
 
-void WaveDesk::Ordered(const BoxName &box, uint64_t wave, const BoxId &id, Millis now)
+void WavePlanner::RecordOrder(const BoxName &box, uint64_t wave, const BoxId &id, Millis now)
 {
 	this->draining.erase(box);
 	this->down[box] = Down{wave, id, now, false};
 }
 
-void WaveDesk::Answered(const BoxName &box, uint64_t wave, ControlOutcome outcome)
+void WavePlanner::Answered(const BoxName &box, uint64_t wave, ControlOutcome outcome)
 {
 	switch (outcome) {
 	case ControlOutcome::CO_DONE:
--- a/src/upkeep/wave_desk.h
+++ b/src/upkeep/wave_desk.h
@@ -22,10 +22,10 @@
 };
 
 /** Decides on waves. At most so many boxes of a wave are down at once as its order says. */
-class WaveDesk {
+class WavePlanner {
 public:
 	/** @param limits Figures. */
-	explicit WaveDesk(WaveLimits limits) : limits(limits) {}
+	explicit WavePlanner(WaveLimits limits) : limits(limits) {}
 
 	/** Takes a wave; one that is known is ignored. @param order It. @param now The time. */
 	void Add(const WaveOrder &order, Millis now);
@@ -38,16 +38,16 @@
 	WaveActions Decide(const FleetView &view, Millis now);
 	/** An order is about to leave. @param box The box. @param wave Its wave. @param id Its agent's id. @param now The
 	 * time. */
-	void Ordered(const BoxName &box, uint64_t wave, const BoxId &id, Millis now);
+	void RecordOrder(const BoxName &box, uint64_t wave, const BoxId &id, Millis now);
 	/** An order has ended. @param box The box. @param wave Its wave. @param outcome How. */
 	void Answered(const BoxName &box, uint64_t wave, ControlOutcome outcome);
 	/** A wave was reported as completed. @param wave The wave. */
-	void Reported(uint64_t wave) { this->completed.insert(wave); }
+	void MarkReported(uint64_t wave) { this->completed.insert(wave); }
 
 	/** @return Boxes that are being emptied or are down for a wave. */
 	[[nodiscard]] std::set<BoxName> Taken() const;
 	/** Boxes were chosen for something else: no wave empties them meanwhile. @param boxes Them. */
-	void LeaveAlone(const std::set<BoxName> &boxes) { this->others = boxes; }
+	void SetExcluded(const std::set<BoxName> &boxes) { this->others = boxes; }
 	/** @return Whether any wave is under way. */
 	[[nodiscard]] bool Active() const;
 	/** @return Whether a box is to be maintained yet. @param box The box. */
--- a/tests/test_fleet_owner.cpp
+++ b/tests/test_fleet_owner.cpp
@@ -73,7 +73,7 @@
 };
 
 /** Pools whose boxes are empty at once; publishes nothing. */
-class EmptyPools : public PoolOwners, public WaveReports {
+class EmptyPools : public PoolOwnerClient, public WaveReporter {
 public:
 	explicit EmptyPools(std::vector<std::string> names) : names(std::move(names)) {}
 
@@ -113,9 +113,9 @@
 
 	std::unique_ptr<FleetOwner> Make(const std::string &name, const std::vector<std::string> &boxes)
 	{
-		auto owner = std::make_unique<FleetOwner>(FleetParts{this->clock, this->log, this->machines, this->pools,
-															 this->pools, this->events, name, name, GAP, "nodes",
-															 [] { return true; }});
+		auto owner = std::make_unique<FleetOwner>(FleetOwnerContext{this->clock, this->log, this->machines, this->pools,
+																	this->pools, this->events, name, name, GAP, "nodes",
+																	[] { return true; }});
 		JobConfig config;
 		for (const std::string &box : this->names) {
 			config.services.push_back(JobService{PoolOf(box), true, false});
@@ -245,25 +245,25 @@
 TEST_CASE("records of orders tell how long the next holder has to wait, and go when they have had their time")
 {
 	const Millis gap(4300);
-	TurnLog first(gap);
-	std::vector<KeyedRecord> log = first.Note({BoxName("m0")}, Millis(0));
+	OrderLog first(gap);
+	std::vector<KeyedRecord> log = first.RecordOrders({BoxName("m0")}, Millis(0));
 	CHECK(log.size() == 1);
 	/* The holder falls silent: the whole gap from the claim on. */
-	TurnLog silent(gap);
-	silent.Inherit(log[0].key, *log[0].value, Millis(1000));
+	OrderLog silent(gap);
+	silent.RestoreOrder(log[0].key, *log[0].value, Millis(1000));
 	CHECK_FALSE(silent.MayOrder(BoxName("m0"), Millis(5299)));
 	CHECK(silent.MayOrder(BoxName("m0"), Millis(5300)));
 	CHECK(silent.MayOrder(BoxName("m1"), Millis(1000)));
 	/* It lets go: what is left of the gap. */
 	log = first.Release(Millis(4000));
-	TurnLog next(gap);
-	next.Inherit(log[0].key, *log[0].value, Millis(4010));
+	OrderLog next(gap);
+	next.RestoreOrder(log[0].key, *log[0].value, Millis(4010));
 	CHECK_FALSE(next.MayOrder(BoxName("m0"), Millis(4309)));
 	CHECK(next.MayOrder(BoxName("m0"), Millis(4310)));
 	/* And in time the record is dropped. */
-	CHECK_FALSE(first.Stale(Millis(4299)));
-	CHECK(first.Stale(Millis(4300)));
-	CHECK(first.Note({}, Millis(4300)) == std::vector<KeyedRecord>{KeyedRecord{log[0].key, std::nullopt}});
+	CHECK_FALSE(first.HasExpired(Millis(4299)));
+	CHECK(first.HasExpired(Millis(4300)));
+	CHECK(first.RecordOrders({}, Millis(4300)) == std::vector<KeyedRecord>{KeyedRecord{log[0].key, std::nullopt}});
 	CHECK(first.Release(Millis(4400)).empty());
 }
 
--- a/tests/test_late_work.cpp
+++ b/tests/test_late_work.cpp
@@ -25,7 +25,7 @@
 	}
 	late.late_cpu = 100 * CPU;
 	turn.waiting_cpu = 4 * CPU;
-	PoolDesk desk{PoolLimits{}};
+	PoolBalancer desk{PoolLimits{}};
 	const PoolActions actions = desk.Decide(view, {}, Millis(0));
 	REQUIRE(actions.drain.contains(ServiceName("late")));
 	CHECK(actions.drain.at(ServiceName("late")).size() >= 4);
@@ -36,7 +36,7 @@
 		it.used_cpu = 0;
 	}
 	turn.waiting_cpu = 0;
-	PoolDesk other{PoolLimits{}};
+	PoolBalancer other{PoolLimits{}};
 	const PoolActions idle = other.Decide(view, {}, Millis(0));
 	CHECK(idle.drain.contains(ServiceName("turn")));
 	CHECK(!idle.drain.contains(ServiceName("late")));
--- a/tests/test_life_watch.cpp
+++ b/tests/test_life_watch.cpp
@@ -34,8 +34,8 @@
 
 TEST_CASE("a life has ended once its machine is listed as down, or with another life")
 {
-	LifeWatch lives;
-	lives.NoteKnown(Known({Life("a"), Life("b")}));
+	IncarnationTracker lives;
+	lives.RecordKnown(Known({Life("a"), Life("b")}));
 	CHECK(lives.Take({Row("a")}, Millis(0)).empty());
 	CHECK(lives.Take({Row("a")}, Millis(200)).empty());
 	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(400)) == std::set{CALC});
@@ -49,8 +49,8 @@
 
 TEST_CASE("a life that was never listed, or is missing from a list, has not ended")
 {
-	LifeWatch lives;
-	lives.NoteKnown(Known({Life("a")}));
+	IncarnationTracker lives;
+	lives.RecordKnown(Known({Life("a")}));
 	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(0)).empty());
 	CHECK(lives.Take({Row("a")}, Millis(200)).empty());
 	CHECK(lives.Take({}, Millis(400)).empty());
@@ -63,8 +63,8 @@
 
 TEST_CASE("the owner of the pool that a life served hears of its end, for some seconds")
 {
-	LifeWatch lives;
-	lives.NoteKnown(Known({Life("a")}));
+	IncarnationTracker lives;
+	lives.RecordKnown(Known({Life("a")}));
 	lives.Take({Row("a")}, Millis(0));
 	CHECK(lives.Take({Row("b", MachineState::MS_UP, GRID)}, Millis(200)) == std::set{CALC});
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a")});
@@ -74,13 +74,13 @@
 
 TEST_CASE("of an id that is used again only the life that its owner knew before the list has ended")
 {
-	LifeWatch lives;
-	lives.NoteKnown(Known({Life("a", 100)}));
+	IncarnationTracker lives;
+	lives.RecordKnown(Known({Life("a", 100)}));
 	lives.Take({Row("a")}, Millis(0));
 	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(200)) == std::set{CALC});
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a", 100)});
 	/* It is back under its id: what is told of for some seconds is not the life that runs now. */
-	lives.NoteKnown(Known({Life("a", 350)}));
+	lives.RecordKnown(Known({Life("a", 350)}));
 	CHECK(lives.Take({Row("a")}, Millis(400)).empty());
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a", 100)});
 	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(600)) == std::set{CALC});
@@ -89,17 +89,17 @@
 
 TEST_CASE("a life is told to have ended although its owner didn't answer the last look")
 {
-	LifeWatch lives;
-	lives.NoteKnown(Known({Life("a", 100)}));
+	IncarnationTracker lives;
+	lives.RecordKnown(Known({Life("a", 100)}));
 	lives.Take({Row("a")}, Millis(0));
-	lives.NoteKnown({});
+	lives.RecordKnown({});
 	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(200)) == std::set{CALC});
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a", 100)});
 }
 
 TEST_CASE("a life that no owner has told of is not told to have ended")
 {
-	LifeWatch lives;
+	IncarnationTracker lives;
 	lives.Take({Row("a")}, Millis(0));
 	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(200)).empty());
 	CHECK(lives.EndedIn(CALC).empty());
--- a/tests/test_other_writer.cpp
+++ b/tests/test_other_writer.cpp
@@ -70,7 +70,7 @@
 };
 
 /** Takes orders and does nothing. */
-class IdleMachines : public MachineControl, public WaveReports, public PoolOwners {
+class IdleMachines : public MachineControl, public WaveReporter, public PoolOwnerClient {
 public:
 	void List(std::function<void(ResultCode, std::vector<MachineRow>)>) override {}
 	void Move(const BoxName &, const ServiceName &, const ControlLease &, Done) override {}
@@ -180,8 +180,8 @@
 	const PartitionId fleet{"keyed.fleet", 0};
 	store.Append(fleet, {KeyedRecord{"hello", "?"}, KeyedRecord{"7x/m0", "1"}, KeyedRecord{"/", "1"}},
 				 AppendCondition{});
-	FleetOwner owner(
-			FleetParts{clock, log, idle, idle, idle, events, "a", "a", Millis(3300), "nodes", [] { return true; }});
+	FleetOwner owner(FleetOwnerContext{clock, log, idle, idle, idle, events, "a", "a", Millis(3300), "nodes",
+									   [] { return true; }});
 	owner.Start();
 	clock.RunUntil(clock.Now() + Millis(2000));
 	CHECK_FALSE(owner.Waiting());
--- a/tests/test_upkeep.cpp
+++ b/tests/test_upkeep.cpp
@@ -63,15 +63,15 @@
 TEST_CASE("a wave takes boxes that are off first, and never more than its order allows")
 {
 	ViewMaker maker;
-	WaveDesk desk{WaveLimits{}};
+	WavePlanner desk{WaveLimits{}};
 	desk.Add(OrderOf({"a0", "a1", "a2", "b0", "o0"}, 2), Millis(0));
 	const WaveActions first = desk.Decide(maker.view, Millis(0));
 	CHECK(first.maintain == std::vector<std::pair<BoxName, uint64_t>>{{BoxName("o0"), 1}});
 	CHECK(first.drain.size() == 2); /* o0 and one more */
-	desk.Ordered(BoxName("o0"), 1, BoxId("o0-1"), Millis(0));
+	desk.RecordOrder(BoxName("o0"), 1, BoxId("o0-1"), Millis(0));
 	desk.Answered(BoxName("o0"), 1, ControlOutcome::CO_DONE);
 	/* While o0 is down, only one other may go. */
-	maker.Row("o0").state = MachineState::MS_UPKEEP;
+	maker.Row("o0").state = MachineState::MS_MAINTENANCE;
 	const WaveActions second = desk.Decide(maker.view, Millis(200));
 	size_t drained = 0;
 	std::ranges::for_each(second.drain, [&drained](const auto &it) { drained += it.second.size(); });
@@ -82,7 +82,7 @@
 TEST_CASE("a box is taken down only once it is empty and nothing is placed there")
 {
 	ViewMaker maker;
-	WaveDesk desk{WaveLimits{}};
+	WavePlanner desk{WaveLimits{}};
 	desk.Add(OrderOf({"a0"}, 1), Millis(0));
 	maker.Status("a", "a0").tasks = 1;
 	CHECK(desk.Decide(maker.view, Millis(0)).maintain.empty());
@@ -95,26 +95,26 @@
 TEST_CASE("a wave is completed when every box that is left has begun, also after a change of owner")
 {
 	ViewMaker maker;
-	WaveDesk desk{WaveLimits{}};
+	WavePlanner desk{WaveLimits{}};
 	desk.Add(OrderOf({"a0", "a1", "gone"}, 3), Millis(0));
 	desk.Restore(1, BoxName("a0"));
 	CHECK(desk.Decide(maker.view, Millis(0)).completed.empty());
-	desk.Ordered(BoxName("a1"), 1, BoxId("a1-1"), Millis(0));
+	desk.RecordOrder(BoxName("a1"), 1, BoxId("a1-1"), Millis(0));
 	desk.Answered(BoxName("a1"), 1, ControlOutcome::CO_UNKNOWN);
 	CHECK(desk.Decide(maker.view, Millis(200)).completed.empty());
 	desk.Answered(BoxName("a1"), 1, ControlOutcome::CO_DONE);
 	CHECK(desk.Decide(maker.view, Millis(400)).completed == std::vector<uint64_t>{1});
-	desk.Reported(1);
+	desk.MarkReported(1);
 	CHECK(!desk.Active());
 }
 
 TEST_CASE("an order without an answer counts as down until the box is seen back, then is tried again")
 {
 	ViewMaker maker;
-	WaveDesk desk{WaveLimits{}};
+	WavePlanner desk{WaveLimits{}};
 	desk.Add(OrderOf({"o0"}, 1), Millis(0));
 	desk.Decide(maker.view, Millis(0));
-	desk.Ordered(BoxName("o0"), 1, BoxId("o0-1"), Millis(0));
+	desk.RecordOrder(BoxName("o0"), 1, BoxId("o0-1"), Millis(0));
 	desk.Answered(BoxName("o0"), 1, ControlOutcome::CO_UNKNOWN);
 	CHECK(desk.Decide(maker.view, Millis(2000)).maintain.empty());
 	CHECK(desk.Decide(maker.view, Millis(9000)).maintain.size() == 1);
@@ -123,16 +123,16 @@
 TEST_CASE("a box that is back from maintenance under its id makes place for the next one")
 {
 	ViewMaker maker;
-	WaveDesk desk{WaveLimits{}};
+	WavePlanner desk{WaveLimits{}};
 	desk.Add(OrderOf({"a0", "a1"}, 1), Millis(0));
 	const WaveActions first = desk.Decide(maker.view, Millis(0));
 	REQUIRE(first.drain.at(ServiceName("a")).size() == 1);
 	const BoxName box = *first.drain.at(ServiceName("a")).begin();
-	desk.Ordered(box, 1, BoxId(box.Value() + "-1"), Millis(0));
+	desk.RecordOrder(box, 1, BoxId(box.Value() + "-1"), Millis(0));
 	desk.Answered(box, 1, ControlOutcome::CO_DONE);
 	/* Not seen down yet: it may be the list that is old. */
 	CHECK_FALSE(desk.Decide(maker.view, Millis(200)).drain.contains(ServiceName("a")));
-	maker.Row(box.Value()).state = MachineState::MS_UPKEEP;
+	maker.Row(box.Value()).state = MachineState::MS_MAINTENANCE;
 	CHECK_FALSE(desk.Decide(maker.view, Millis(400)).drain.contains(ServiceName("a")));
 	maker.Row(box.Value()).state = MachineState::MS_UP;
 	CHECK(desk.Decide(maker.view, Millis(2400)).drain.at(ServiceName("a")).size() == 1);
@@ -141,7 +141,7 @@
 TEST_CASE("a pool in need gets boxes from the reserve, then idle ones of other pools above their floor")
 {
 	ViewMaker maker;
-	PoolDesk desk{PoolLimits{}};
+	PoolBalancer desk{PoolLimits{}};
 	for (PoolBox &box : maker.view.pools[ServiceName("a")].boxes) {
 		box.tasks = 4;
 		box.used_cpu = box.cpu;
@@ -162,12 +162,12 @@
 TEST_CASE("boxes that a wave has chosen are left alone, and pairs that can't exchange boxes are remembered")
 {
 	ViewMaker maker;
-	PoolDesk desk{PoolLimits{}};
+	PoolBalancer desk{PoolLimits{}};
 	maker.view.pools[ServiceName("a")].waiting_cpu = 1000000;
 	const PoolActions first = desk.Decide(maker.view, {BoxName("o0")}, Millis(0));
 	CHECK(std::ranges::count(first.moves, BoxName("o0"), &PoolMove::box) == 0);
 	const PoolMove move{BoxName("o1"), ServiceName("a")};
-	desk.Ordered(move, Millis(0));
+	desk.RecordOrder(move, Millis(0));
 	desk.Answered(move, ServiceName("off"), ControlOutcome::CO_REJECTED);
 	const PoolActions second = desk.Decide(maker.view, {}, Millis(200));
 	CHECK(std::ranges::count(second.moves, BoxName("o1"), &PoolMove::box) == 0);
@@ -176,7 +176,7 @@
 TEST_CASE("a box goes to the reserve only when no pool has needed it for a long while, and a moved box counts once")
 {
 	ViewMaker maker;
-	PoolDesk desk{PoolLimits{}};
+	PoolBalancer desk{PoolLimits{}};
 	for (PoolBox &box : maker.view.pools[ServiceName("a")].boxes) {
 		box.tasks = 4;
 		box.used_cpu = box.cpu;
@@ -193,7 +193,7 @@
 	/* Its report still stands in the old pool: it must not be moved again from there. */
 	ViewMaker moved;
 	moved.Row("a0").pool = ServiceName("off");
-	PoolDesk other{PoolLimits{}};
+	PoolBalancer other{PoolLimits{}};
 	other.Decide(moved.view, {}, Millis(0));
 	const PoolActions later = other.Decide(moved.view, {}, Millis(91000));
 	REQUIRE(later.drain.contains(ServiceName("a")));
