--- a/src/account/account_book.cpp
+++ b/src/account/account_book.cpp
@@ -123,7 +123,7 @@
 	return known == nullptr || known->weight <= 0 ? 1.0 : known->weight;
 }
 
-double AccountBook::RoomFor(const AccountName &account, const Resources &ready) const
+double AccountBook::FittingFraction(const AccountName &account, const Resources &ready) const
 {
 	const auto it = this->uses.find(account);
 	if (it == this->uses.end()) {
--- a/src/account/account_book.h
+++ b/src/account/account_book.h
@@ -51,10 +51,10 @@
 	/** @return The accounts that have most placed here, by processor time. @param most How many at most. */
 	[[nodiscard]] std::vector<NamedUse> Largest(size_t most) const;
 	/** @return Version by which all services reckon, as the ledger has told. */
-	[[nodiscard]] uint64_t VersionOfAll() const { return this->version_of_all; }
+	[[nodiscard]] uint64_t MinAppliedVersion() const { return this->version_of_all; }
 	/** @return The part of what an account's tasks ask for that its maximum leaves room for, from 0 to 1. @param
 	 * account The account. @param ready What they ask for. */
-	[[nodiscard]] double RoomFor(const AccountName &account, const Resources &ready) const;
+	[[nodiscard]] double FittingFraction(const AccountName &account, const Resources &ready) const;
 
 	/** Takes what the ledger lends. @param loan It; ignored when a newer one was taken. */
 	void Take(const ShareLoan &loan);
--- a/src/account/account_list.cpp
+++ b/src/account/account_list.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-bool MayHandle(const AccountName &owner, const AccountName &caller)
+bool MayAccess(const AccountName &owner, const AccountName &caller)
 {
 	return owner.Value().empty() || caller.Value().empty() || owner == caller;
 }
--- a/src/account/account_list.h
+++ b/src/account/account_list.h
@@ -19,7 +19,7 @@
 
 /** @return Whether a caller may see or change a job. @param owner Account of the job; empty for nobody's. @param caller
  * Account of the caller; empty on a route without keys. */
-bool MayHandle(const AccountName &owner, const AccountName &caller);
+bool MayAccess(const AccountName &owner, const AccountName &caller);
 
 /** The accounts of one configuration. Immutable once made. */
 class AccountList {
@@ -32,7 +32,7 @@
 	AccountList &operator=(const AccountList &) = delete;
 
 	/** @return Whether a name or a key stands twice: it isn't known then whose callers those are. */
-	[[nodiscard]] bool Clashes() const { return this->clashes; }
+	[[nodiscard]] bool HasDuplicates() const { return this->clashes; }
 	/** @return The account of a key, or null. @param key Hash of the key. */
 	[[nodiscard]] const ClientAccount *FindByKey(const KeyHash &key) const;
 	/** @return The account of a name, or null. @param name Its name. */
--- a/src/account/key_hash.cpp
+++ b/src/account/key_hash.cpp
@@ -17,18 +17,18 @@
 
 } // namespace
 
-KeyHash HashOfKey(std::string_view key)
+KeyHash HashKey(std::string_view key)
 {
 	const QByteArray bytes = QByteArray::fromRawData(key.data(), static_cast<qsizetype>(key.size()));
 	return KeyHash(QCryptographicHash::hash(bytes, QCryptographicHash::Sha256).toHex().toStdString());
 }
 
-std::optional<KeyHash> KeyOfHeader(const std::string *authorization, std::string_view scheme)
+std::optional<KeyHash> KeyHashFromHeader(const std::string *authorization, std::string_view scheme)
 {
 	if (authorization == nullptr || authorization->size() <= scheme.size() + 1 ||
 		(*authorization)[scheme.size()] != ' ' ||
 		!SameWord(std::string_view(*authorization).substr(0, scheme.size()), scheme)) {
 		return std::nullopt;
 	}
-	return HashOfKey(std::string_view(*authorization).substr(scheme.size() + 1));
+	return HashKey(std::string_view(*authorization).substr(scheme.size() + 1));
 }
--- a/src/account/key_hash.h
+++ b/src/account/key_hash.h
@@ -9,7 +9,7 @@
 #include <string_view>
 
 /** @return Hash of a key. Looking up a hash leaks nothing of the key by the time it takes. @param key The key. */
-KeyHash HashOfKey(std::string_view key);
+KeyHash HashKey(std::string_view key);
 
 /**
  * Reads the key of an Authorization header.
@@ -17,6 +17,6 @@
  * @param scheme The scheme that is taken, without the blank behind it; its case doesn't count.
  * @return Hash of the key; nothing when there is none under this scheme.
  */
-std::optional<KeyHash> KeyOfHeader(const std::string *authorization, std::string_view scheme);
+std::optional<KeyHash> KeyHashFromHeader(const std::string *authorization, std::string_view scheme);
 
 #endif /* KEY_HASH_H */
--- a/src/account/share_ledger.cpp
+++ b/src/account/share_ledger.cpp
@@ -25,7 +25,7 @@
 
 bool ShareLedger::Restore(const std::string &key, const std::string &value)
 {
-	const auto in = Unpacked<wire::ShareRecord>(value);
+	const auto in = UnpackRecord<wire::ShareRecord>(value);
 	if (!in || in->services.size() != in->parts.size()) {
 		return false;
 	}
@@ -129,7 +129,7 @@
 				out.parts.push_back(row.held);
 			}
 		}
-		records.push_back(KeyedRecord{std::string(PREFIX) + account.Value(), Packed<wire::ShareRecord>(out)});
+		records.push_back(KeyedRecord{std::string(PREFIX) + account.Value(), PackRecord<wire::ShareRecord>(out)});
 	}
 	return records;
 }
--- a/src/entry/credential_list.cpp
+++ b/src/entry/credential_list.cpp
@@ -30,7 +30,7 @@
 
 const Credential *CredentialList::Find(const std::string *authorization) const
 {
-	const std::optional<KeyHash> hash = KeyOfHeader(authorization, SCHEME);
+	const std::optional<KeyHash> hash = KeyHashFromHeader(authorization, SCHEME);
 	const auto it = hash ? this->by_hash.find(*hash) : this->by_hash.end();
 	return it == this->by_hash.end() ? nullptr : &it->second;
 }
--- a/src/jobs/job_codec.cpp
+++ b/src/jobs/job_codec.cpp
@@ -94,12 +94,12 @@
 	out.repeats = spec.repeats;
 	out.begun = spec.begun.Value();
 	out.account = spec.account.Value();
-	return Packed<wire::SubmissionRecord>(out);
+	return PackRecord<wire::SubmissionRecord>(out);
 }
 
 std::optional<JobSpec> DecodeSubmission(const JobId &id, std::string_view bytes)
 {
-	const auto in = Unpacked<wire::SubmissionRecord>(bytes);
+	const auto in = UnpackRecord<wire::SubmissionRecord>(bytes);
 	if (!in) {
 		return std::nullopt;
 	}
@@ -144,12 +144,12 @@
 		}
 		out.tasks.push_back(std::move(row));
 	}
-	return Packed<wire::ProgressRecord>(out);
+	return PackRecord<wire::ProgressRecord>(out);
 }
 
 std::optional<StoredProgress> DecodeProgress(std::string_view bytes)
 {
-	const auto in = Unpacked<wire::ProgressRecord>(bytes);
+	const auto in = UnpackRecord<wire::ProgressRecord>(bytes);
 	if (!in || in->phase > static_cast<uint8_t>(JobPhase::JP_CANCELLED)) {
 		return std::nullopt;
 	}
--- a/src/jobs/shard_drain.cpp
+++ b/src/jobs/shard_drain.cpp
@@ -167,7 +167,7 @@
 	const auto cpu_of = [this](const std::map<AccountName, Resources> &all) {
 		int64_t cpu = 0;
 		for (const auto &[account, amount] : all) {
-			cpu += static_cast<int64_t>(static_cast<double>(amount.cpu) * this->book.RoomFor(account, amount));
+			cpu += static_cast<int64_t>(static_cast<double>(amount.cpu) * this->book.FittingFraction(account, amount));
 		}
 		return cpu;
 	};
--- a/src/jobs/shard_jobs.cpp
+++ b/src/jobs/shard_jobs.cpp
@@ -162,7 +162,7 @@
 {
 	auto it = this->cancelled.lower_bound({spec.id, AccountName()});
 	for (; it != this->cancelled.end() && it->first == spec.id; ++it) {
-		if (MayHandle(spec.account, it->second)) {
+		if (MayAccess(spec.account, it->second)) {
 			return true;
 		}
 	}
@@ -175,7 +175,7 @@
 		return;
 	}
 	const auto it = this->jobs.find(id);
-	if (it != this->jobs.end() && !it->second.Over() && MayHandle(it->second.spec.account, account)) {
+	if (it != this->jobs.end() && !it->second.Over() && MayAccess(it->second.spec.account, account)) {
 		this->EndJob(it->second, JobPhase::JP_CANCELLED, "cancelled");
 	}
 	this->Wake();
--- a/src/jobs/shard_owner.cpp
+++ b/src/jobs/shard_owner.cpp
@@ -25,7 +25,7 @@
 	return key.front() == TAKEN_MARK ? SpareKey{key.substr(1), false} : SpareKey{PROGRESS_PREFIX + key, true};
 }
 
-constexpr FollowPace INBOX_PACE{Millis(1000), Millis(0), Millis(100)}; ///< Long polls: a submission is read at once.
+constexpr PollTiming INBOX_PACE{Millis(1000), Millis(0), Millis(100)}; ///< Long polls: a submission is read at once.
 
 } // namespace
 
@@ -62,14 +62,14 @@
 void ShardOwner::Run(const ClaimedPartition &claimed)
 {
 	this->epoch = claimed.number.epoch;
-	this->journal = std::make_unique<PairedJournal>(this->parts.scheduler, this->parts.log, this->parts.events,
-													JournalPair{this->progress, SpareOf(this->progress), InboxKeyOf},
-													claimed.number);
+	this->journal = std::make_unique<PairedJournal>(
+			this->parts.scheduler, this->parts.log, this->parts.events,
+			JournalPair{this->progress, SparePartitionOf(this->progress), InboxKeyOf}, claimed.number);
 	this->shard = std::make_unique<Shard>(this->parts.scheduler, *this->journal, this->parts.orders, this->parts.events,
 										  this->service, FenceToken(claimed.number.epoch), this->parts.limits,
 										  this->parts.advisor);
 	if (claimed.released) {
-		this->shard->SetEarlierLeaseSpan(claimed.others_for);
+		this->shard->SetEarlierLeaseSpan(claimed.earlier_lease_span);
 	}
 	this->confirm_due = this->load_at = this->parts.scheduler.Now();
 	this->KeepConfirmed();
@@ -81,7 +81,7 @@
 		});
 	};
 	this->journal->on_deposed = let_go;
-	this->journal->on_free = [this] { this->shard->OnJournalFree(); };
+	this->journal->on_repeated = [this] { this->shard->OnJournalFree(); };
 	this->shard->on_deposed = let_go;
 	for (const auto &[key, bytes] : claimed.records) {
 		if (key.front() == TAKEN_MARK) {
@@ -209,7 +209,7 @@
 {
 	this->NoteLoad();
 	this->confirm_timer = this->parts.scheduler.After(CONFIRM_LOOK, [this] { this->KeepConfirmed(); });
-	if (this->journal->Quiet(CONFIRM_EVERY)) {
+	if (this->journal->IdleFor(CONFIRM_EVERY)) {
 		const StoredOwner self{this->epoch, this->parts.address, false, Millis(0)};
 		const std::weak_ptr<bool> still(this->alive);
 		const auto recorded = [this, still] {
@@ -248,7 +248,7 @@
 	}
 	const StoredOwner last{this->epoch, this->parts.address, true, this->shard->OtherOwnersLeft()};
 	this->shard.reset();
-	this->journal->on_free = nullptr;
+	this->journal->on_repeated = nullptr;
 	this->journal->on_deposed = done;
 	this->journal->Append({KeyedRecord{OWNER_KEY, EncodeOwner(last)}}, done);
 }
--- a/src/jobs/shard_records.cpp
+++ b/src/jobs/shard_records.cpp
@@ -67,7 +67,7 @@
 bool Shard::OfOtherAccount(const InboxKey &name) const
 {
 	const auto it = this->jobs.find(name.job);
-	return it != this->jobs.end() && !MayHandle(it->second.spec.account, name.account);
+	return it != this->jobs.end() && !MayAccess(it->second.spec.account, name.account);
 }
 
 void Shard::Withdraw(uint64_t number)
--- a/src/node/job_desk.cpp
+++ b/src/node/job_desk.cpp
@@ -172,7 +172,7 @@
 		return JobAnswer{ResultCode::RC_OK, JobPhase::JP_QUEUED, shard->Waiting(question.route)};
 	}
 	const JobView view = shard->View(question.job);
-	if (view.known && !MayHandle(view.account, question.account)) {
+	if (view.known && !MayAccess(view.account, question.account)) {
 		return JobAnswer{ResultCode::RC_OTHER_ACCOUNT, JobPhase::JP_QUEUED, 0};
 	}
 	if (view.known) {
--- a/src/node/metrics_page.cpp
+++ b/src/node/metrics_page.cpp
@@ -74,7 +74,7 @@
 			row["live"] = static_cast<qint64>(LiveJobs(*shard));
 			row["boxes"] = static_cast<qint64>(shard->Boxes().size());
 			row["accounts"] = DumpAccounts(shard->Accounts());
-			row["version_of_all"] = static_cast<qint64>(shard->Accounts().VersionOfAll());
+			row["version_of_all"] = static_cast<qint64>(shard->Accounts().MinAppliedVersion());
 			row["journal_detours"] = static_cast<qint64>(shard->Detours());
 			for (const CounterRow &counter : COUNTERS) {
 				row[counter.name] = static_cast<qint64>(shard->Counters().*counter.member);
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -183,8 +183,9 @@
 	this->links.log.Holders(NODE_GROUP, [this, still = std::weak_ptr<bool>(this->alive)](
 												ResultCode, const std::vector<PartitionHolder> &rows) {
 		if (!still.expired()) {
-			std::ranges::for_each(
-					rows, [this](const PartitionHolder &it) { this->configs.NotePeer(PeerOf(it.member).address); });
+			std::ranges::for_each(rows, [this](const PartitionHolder &it) {
+				this->configs.NotePeer(ParseMemberName(it.member).address);
+			});
 		}
 	});
 }
@@ -201,14 +202,14 @@
 	if (!this->fleet) {
 		/* Now and then also when it is not dealt here: an earlier process of this node may have held it. */
 		const Millis now = this->scheduler.Now();
-		const bool look = this->member.TakesPart() && now - this->fleet_looked_at >= LOOK_EVERY;
+		const bool look = this->member.HeldRecently() && now - this->fleet_looked_at >= LOOK_EVERY;
 		if (wanted || look) {
 			this->fleet_looked_at = now;
 			this->BeginFleet();
 		}
 	} else if (!wanted && this->fleet->Waiting()) {
 		this->fleet.reset();
-	} else if (!dealt && this->member.StandsBy()) {
+	} else if (!dealt && this->member.IsStandby()) {
 		this->ReleaseFleet();
 	}
 }
--- a/src/node/owner_lookup.cpp
+++ b/src/node/owner_lookup.cpp
@@ -157,7 +157,7 @@
 
 void OwnerLookup::ReadOwner(const PartitionId &shard, const PartitionId &from)
 {
-	this->log.Newest(from, BEFORE_OWNER,
+	this->log.Newest(from, KEY_BEFORE_OWNER,
 					 [this, shard, from, still = std::weak_ptr<bool>(this->alive)](const NewestPage &page) {
 						 if (!still.expired()) {
 							 this->OnOwner(shard, from, page);
@@ -169,7 +169,7 @@
 {
 	if (page.code != ResultCode::RC_OK && from == shard) {
 		/* Each claim names the owner in the spare partition as well. */
-		this->ReadOwner(shard, SpareOf(shard));
+		this->ReadOwner(shard, SparePartitionOf(shard));
 		return;
 	}
 	KnownOwner &owner = this->owners[shard];
--- a/src/node/shard_host.cpp
+++ b/src/node/shard_host.cpp
@@ -85,7 +85,7 @@
 	}
 	size_t owned = this->Claimed();
 	const Millis now = this->parts.scheduler.Now();
-	const bool look = this->member.TakesPart() && now - this->looked_at >= LOOK_EVERY;
+	const bool look = this->member.HeldRecently() && now - this->looked_at >= LOOK_EVERY;
 	this->looked_at = look && !this->config.services.empty() ? now : this->looked_at;
 	for (const JobService &service : this->config.services) {
 		const bool dealt = this->Dealt(service.name);
@@ -97,7 +97,7 @@
 			}
 		} else if (!wanted && it->second->Waiting()) {
 			this->owners.erase(it);
-		} else if (!dealt && it->second->Claimed() && (this->member.StandsBy() || owned > this->KeepMost())) {
+		} else if (!dealt && it->second->Claimed() && (this->member.IsStandby() || owned > this->KeepMost())) {
 			/* A member that only was missed for a moment goes on owning: who comes after it would have to claim first.
 			 */
 			this->parts.events.Write("shard_handed_over", {{"service", service.name.Value()}});
@@ -106,7 +106,7 @@
 		}
 	}
 	/* Who may have to take over keeps the reports at hand: a new owner that can't read them places nothing. */
-	const bool watch = !this->owners.empty() || this->member.TakesPart();
+	const bool watch = !this->owners.empty() || this->member.HeldRecently();
 	this->feed.WatchBoxes(watch);
 	if (!watch) {
 		this->reports.clear();
--- a/src/standin/memory/keyed_store.h
+++ b/src/standin/memory/keyed_store.h
@@ -109,7 +109,7 @@
 	void Leave(const std::string &group, const std::string &member, std::function<void()> done) override;
 	void Holders(const std::string &group, std::function<void(ResultCode, std::vector<PartitionHolder>)> done) override;
 
-	[[nodiscard]] Millis LostAt() const override { return this->lost_at; }
+	[[nodiscard]] Millis AnswerLostAt() const override { return this->lost_at; }
 
 	StoreFaults faults; ///< Faults in force.
 
@@ -118,7 +118,7 @@
 	VirtualScheduler &clock;     ///< The world's clock: calls arrive also then.
 	KeyedStore &store;           ///< The log.
 	uint32_t appends = 0;        ///< Appends sent.
-	Millis lost_at = NEVER_LOST; ///< For LostAt().
+	Millis lost_at = NEVER_LOST; ///< For AnswerLostAt().
 
 	/** @return Whether calls get no answer. @param partition Where they go; none for calls about groups. */
 	[[nodiscard]] bool Silent(const std::optional<PartitionId> &partition) const
--- a/src/store/group_member.cpp
+++ b/src/store/group_member.cpp
@@ -32,7 +32,7 @@
 {
 	std::set<std::string> out;
 	for (const PartitionHolder &it : rows) {
-		if (PeerOf(it.member).cpu >= cpu) {
+		if (ParseMemberName(it.member).cpu >= cpu) {
 			out.insert(it.member);
 		}
 	}
@@ -54,7 +54,7 @@
 	return peer.address + CPU_MARK + std::to_string(peer.cpu);
 }
 
-GroupPeer PeerOf(const std::string &name)
+GroupPeer ParseMemberName(const std::string &name)
 {
 	GroupPeer peer;
 	const size_t mark = name.find(CPU_MARK);
@@ -104,7 +104,8 @@
 	}
 	/* Several came at the same moment. All of them see the same rows: the strongest stay, by name among equals. */
 	std::vector<std::string> ranked(holders.begin(), holders.end());
-	std::ranges::stable_sort(ranked, std::ranges::greater{}, [](const std::string &it) { return PeerOf(it).cpu; });
+	std::ranges::stable_sort(ranked, std::ranges::greater{},
+							 [](const std::string &it) { return ParseMemberName(it).cpu; });
 	return std::ranges::find(ranked, this->name) >= ranked.begin() + static_cast<ptrdiff_t>(most);
 }
 
--- a/src/store/group_member.h
+++ b/src/store/group_member.h
@@ -18,7 +18,7 @@
 /** @return Name of a member in the group. @param peer The member. */
 std::string MemberNameOf(const GroupPeer &peer);
 /** @return The member of a name. @param name Its name in the group. */
-GroupPeer PeerOf(const std::string &name);
+GroupPeer ParseMemberName(const std::string &name);
 
 /** Which group, and as whom. */
 struct GroupSpec {
@@ -61,13 +61,13 @@
 
 	/** @return Whether this member holds any partition, or did until a moment ago: while all are dealt anew it may hold
 	 * none. Others take it for alive then. */
-	[[nodiscard]] bool TakesPart() const { return this->scheduler.Now() - this->held_at <= this->spec.silence; }
+	[[nodiscard]] bool HeldRecently() const { return this->scheduler.Now() - this->held_at <= this->spec.silence; }
 
 	/** @return Partitions held. */
 	[[nodiscard]] size_t Count() const { return this->parts.size(); }
 
 	/** @return Whether stronger nodes hold the partitions and this one only waits for their end. */
-	[[nodiscard]] bool StandsBy() const { return this->standing_by; }
+	[[nodiscard]] bool IsStandby() const { return this->standing_by; }
 
 	/** @return When the last answered join was sent. */
 	[[nodiscard]] Millis ConfirmedAt() const { return this->confirmed_at; }
@@ -83,7 +83,7 @@
 	std::string name;                                           ///< This member's name in the group.
 	Millis started_at;                                          ///< When Start() was called.
 	bool joined = false;                                        ///< Whether this node takes part, or tries to.
-	bool standing_by = false;                                   ///< For StandsBy().
+	bool standing_by = false;                                   ///< For IsStandby().
 	bool weak = false;                                          ///< Whether stronger nodes were seen in the group.
 	Millis settles_until{-1000000};                             ///< Until then it may turn out to be one too many.
 	uint64_t generation = 0;                                    ///< Last one heard.
--- a/src/store/keyed_follower.cpp
+++ b/src/store/keyed_follower.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <iterator>
 
-KeyedFollower::KeyedFollower(Scheduler &scheduler, KeyedLog &log, PartitionId partition, FollowPace pace)
+KeyedFollower::KeyedFollower(Scheduler &scheduler, KeyedLog &log, PartitionId partition, PollTiming pace)
 		: scheduler(scheduler), log(log), partition(std::move(partition)), pace(pace)
 {
 }
--- a/src/store/keyed_follower.h
+++ b/src/store/keyed_follower.h
@@ -9,7 +9,7 @@
 #include <set>
 
 /** How a follower asks. */
-struct FollowPace {
+struct PollTiming {
 	Millis wait;        ///< Time that the log may hold an answer back until a record comes.
 	Millis pause;       ///< Between two questions; 0 to ask at once.
 	Millis retry_after; ///< After a question without an answer.
@@ -29,7 +29,7 @@
 	 * @param partition What to follow.
 	 * @param pace How to ask.
 	 */
-	KeyedFollower(Scheduler &scheduler, KeyedLog &log, PartitionId partition, FollowPace pace);
+	KeyedFollower(Scheduler &scheduler, KeyedLog &log, PartitionId partition, PollTiming pace);
 	~KeyedFollower();
 	KeyedFollower(const KeyedFollower &) = delete;
 	KeyedFollower &operator=(const KeyedFollower &) = delete;
@@ -58,7 +58,7 @@
 	Scheduler &scheduler;                                       ///< Clock and timers.
 	KeyedLog &log;                                              ///< The log.
 	PartitionId partition;                                      ///< What is followed.
-	FollowPace pace;                                            ///< How to ask.
+	PollTiming pace;                                            ///< How to ask.
 	bool loaded = false;                                        ///< Whether Loaded().
 	uint64_t next = 0;                                          ///< Offset to read from.
 	std::optional<uint64_t> first_end;                          ///< End told by the first page of a load.
--- a/src/store/keyed_log.h
+++ b/src/store/keyed_log.h
@@ -99,10 +99,10 @@
 	virtual void Holders(const std::string &group,
 						 std::function<void(ResultCode, std::vector<PartitionHolder>)> done) = 0;
 	/** @return When a call last turned out to have got no answer, or long ago. */
-	[[nodiscard]] virtual Millis LostAt() const { return NEVER_LOST; }
+	[[nodiscard]] virtual Millis AnswerLostAt() const { return NEVER_LOST; }
 
 protected:
-	static constexpr Millis NEVER_LOST = Millis(-1000000); ///< For LostAt(), before the first.
+	static constexpr Millis NEVER_LOST = Millis(-1000000); ///< For AnswerLostAt(), before the first.
 };
 
 #endif /* KEYED_LOG_H */
--- a/src/store/owner_record.cpp
+++ b/src/store/owner_record.cpp
@@ -10,13 +10,13 @@
 	out.epoch = owner.epoch;
 	out.address = owner.address;
 	out.released = owner.released;
-	out.others_ms = static_cast<uint32_t>(owner.others_for.Value());
-	return Packed<glade::shard::OwnerRecord>(out);
+	out.others_ms = static_cast<uint32_t>(owner.earlier_lease_span.Value());
+	return PackRecord<glade::shard::OwnerRecord>(out);
 }
 
 std::optional<StoredOwner> DecodeOwner(std::string_view bytes)
 {
-	const auto in = Unpacked<glade::shard::OwnerRecord>(bytes);
+	const auto in = UnpackRecord<glade::shard::OwnerRecord>(bytes);
 	if (!in) {
 		return std::nullopt;
 	}
--- a/src/store/owner_record.h
+++ b/src/store/owner_record.h
@@ -11,10 +11,10 @@
 
 /** Who owns a partition. */
 struct StoredOwner {
-	uint64_t epoch = 0;    ///< Rises with each owner.
-	std::string address;   ///< Where its node answers others.
-	bool released = false; ///< It has let go by itself: it prolongs no lease any more.
-	Millis others_for;     ///< When it let go: owners before it may still have prolonged leases for so long.
+	uint64_t epoch = 0;        ///< Rises with each owner.
+	std::string address;       ///< Where its node answers others.
+	bool released = false;     ///< It has let go by itself: it prolongs no lease any more.
+	Millis earlier_lease_span; ///< When it let go: owners before it may still have prolonged leases for so long.
 
 	bool operator==(const StoredOwner &) const = default;
 };
--- a/src/store/paired_journal.cpp
+++ b/src/store/paired_journal.cpp
@@ -87,8 +87,8 @@
 		Batch repeat;
 		repeat.number = ++this->last_number;
 		repeat.done.emplace_back([this] {
-			if (this->on_free) {
-				this->on_free();
+			if (this->on_repeated) {
+				this->on_repeated();
 			}
 		});
 		this->current = std::move(repeat);
--- a/src/store/paired_journal.h
+++ b/src/store/paired_journal.h
@@ -62,7 +62,7 @@
 	/** @return Whether nothing is under way, and nothing was for a while: what its owner then records about itself
 	 * leaves half of the time to what somebody waits for. @param span The while; longer when the last batch took
 	 * longer. */
-	[[nodiscard]] bool Quiet(Millis span) const
+	[[nodiscard]] bool IdleFor(Millis span) const
 	{
 		const Millis pause = std::max(span, std::min(this->last_took, QUIET_MOST));
 		return !this->Busy() && this->scheduler.Now() - this->finished_at >= pause;
@@ -74,8 +74,8 @@
 	/** @return Batches that the spare partition had first. */
 	[[nodiscard]] uint64_t Detours() const { return this->detours; }
 
-	std::function<void()> on_deposed; ///< A later owner has claimed the partitions. Called once.
-	std::function<void()> on_free;    ///< Records were repeated to the main partition: nothing is under way any more.
+	std::function<void()> on_deposed;  ///< A later owner has claimed the partitions. Called once.
+	std::function<void()> on_repeated; ///< Records were repeated to the main partition: nothing is under way any more.
 
 private:
 	/** Longest pause of Quiet(): a store that is slow takes so long; one that was away is back. */
--- a/src/store/partition_claim.cpp
+++ b/src/store/partition_claim.cpp
@@ -50,7 +50,7 @@
 void PartitionClaim::Look()
 {
 	this->looked_at = this->scheduler.Now();
-	this->log.Newest(this->spec.partition, BEFORE_OWNER,
+	this->log.Newest(this->spec.partition, KEY_BEFORE_OWNER,
 					 [this, still = std::weak_ptr<bool>(this->alive)](const NewestPage &page) {
 						 if (!still.expired()) {
 							 this->OnOwner(page);
@@ -101,7 +101,7 @@
 Millis PartitionClaim::StillLimit() const
 {
 	const Millis now = this->scheduler.Now();
-	const Millis least = now - this->log.LostAt() <= LOSSY_FOR ? STILL_LOSSY : STILL_LEAST;
+	const Millis least = now - this->log.AnswerLostAt() <= LOSSY_FOR ? STILL_LOSSY : STILL_LEAST;
 	return least + Millis(this->look_took.Value() * STILL_TOOK);
 }
 
@@ -113,7 +113,7 @@
 			return;
 		}
 		const bool lives = std::ranges::any_of(
-				rows, [&owner](const PartitionHolder &it) { return PeerOf(it.member).address == owner; });
+				rows, [&owner](const PartitionHolder &it) { return ParseMemberName(it.member).address == owner; });
 		if (code != ResultCode::RC_OK) {
 			this->TryAgain(CLAIM_AGAIN);
 		} else if (lives) {
@@ -168,7 +168,7 @@
 			const std::optional<StoredOwner> owner = DecodeOwner(value);
 			this->epoch_found = std::max(this->epoch_found, owner ? owner->epoch : 0);
 			this->found.released = owner && owner->released;
-			this->found.others_for = owner ? owner->others_for : Millis(0);
+			this->found.earlier_lease_span = owner ? owner->earlier_lease_span : Millis(0);
 		} else {
 			this->found.records[record.key] = value;
 		}
@@ -232,7 +232,7 @@
 	const AppendCondition condition{std::nullopt, OWNER_PRODUCER, this->found.number.epoch,
 									this->found.number.sequence};
 	const StoredOwner self{this->found.number.epoch, this->spec.address, false, Millis(0)};
-	this->log.Append(SpareOf(this->spec.partition), {KeyedRecord{OWNER_KEY, EncodeOwner(self)}}, condition,
+	this->log.Append(SparePartitionOf(this->spec.partition), {KeyedRecord{OWNER_KEY, EncodeOwner(self)}}, condition,
 					 this->ClaimPatience(),
 					 [this, still = std::weak_ptr<bool>(this->alive)](const KeyedAppendAnswer &answer) {
 						 if (!still.expired()) {
@@ -264,7 +264,7 @@
 
 void PartitionClaim::LoadSparePage(const std::string &after)
 {
-	this->log.Newest(SpareOf(this->spec.partition), after,
+	this->log.Newest(SparePartitionOf(this->spec.partition), after,
 					 [this, still = std::weak_ptr<bool>(this->alive)](const NewestPage &page) {
 						 if (!still.expired()) {
 							 this->OnSparePage(page);
--- a/src/store/partition_claim.h
+++ b/src/store/partition_claim.h
@@ -14,7 +14,7 @@
 /** Key of the owner's record. */
 inline constexpr const char *OWNER_KEY = "owner";
 /** Keys behind this one are the owner's and few others: jobs have hexadecimal digits. */
-inline constexpr const char *BEFORE_OWNER = "n";
+inline constexpr const char *KEY_BEFORE_OWNER = "n";
 
 /** Who claims what, and when it may. */
 struct ClaimSpec {
@@ -37,13 +37,13 @@
 struct ClaimedPartition {
 	ClaimNumber number;                         ///< Of the claim.
 	bool released = false;                      ///< Whether the owner before had let go by itself, or there was none.
-	Millis others_for;                          ///< Then: for so long owners before that one may prolong leases.
+	Millis earlier_lease_span;                  ///< Then: for so long owners before that one may prolong leases.
 	std::map<std::string, std::string> records; ///< Values by key, without the owner's record.
 	std::map<std::string, std::string> spare;   ///< The same of the spare partition, if they were wanted.
 };
 
 /** @return The partition in which an owner records while its own doesn't answer. @param partition Its own. */
-inline PartitionId SpareOf(const PartitionId &partition)
+inline PartitionId SparePartitionOf(const PartitionId &partition)
 {
 	return PartitionId{partition.topic, partition.part + 1};
 }
--- a/src/store/record_codec.h
+++ b/src/store/record_codec.h
@@ -17,7 +17,7 @@
  * @return Bytes.
  */
 template <class Table, class Native>
-std::string Packed(const Native &native)
+std::string PackRecord(const Native &native)
 {
 	flatbuffers::FlatBufferBuilder builder;
 	builder.Finish(Table::Pack(builder, &native));
@@ -31,7 +31,7 @@
  * @return It, or null when the bytes are no such record or of a later format.
  */
 template <class Table>
-std::unique_ptr<typename Table::NativeTableType> Unpacked(std::string_view bytes)
+std::unique_ptr<typename Table::NativeTableType> UnpackRecord(std::string_view bytes)
 {
 	const auto *data = reinterpret_cast<const uint8_t *>(bytes.data());
 	flatbuffers::Verifier verifier(data, bytes.size());
--- a/src/upkeep/fleet_owner.cpp
+++ b/src/upkeep/fleet_owner.cpp
@@ -53,7 +53,7 @@
 	this->fence = FenceToken(claimed.number.epoch);
 	this->ledger.Begin(this->epoch);
 	this->journal = std::make_unique<PairedJournal>(this->parts.scheduler, this->parts.log, this->parts.events,
-													JournalPair{FLEET, SpareOf(FLEET),
+													JournalPair{FLEET, SparePartitionOf(FLEET),
 																[](const std::string &key) {
 																	return SpareKey{key, key != OWNER_KEY};
 																}},
@@ -133,7 +133,7 @@
 
 void FleetOwner::KeepConfirmed()
 {
-	if (this->journal->Quiet(CONFIRM_EVERY)) {
+	if (this->journal->IdleFor(CONFIRM_EVERY)) {
 		const StoredOwner self{this->epoch, this->parts.address, false, Millis(0)};
 		this->journal->Append({KeyedRecord{OWNER_KEY, EncodeOwner(self)}}, [] {
 			/* Nothing waits for it: it shows that this holder lives, or that there is another one. */
--- a/tests/owner/main.cpp
+++ b/tests/owner/main.cpp
@@ -78,7 +78,7 @@
 	OwnerRun(size_t boxes, int64_t rate)
 			: agents(boxes, RUN_TIME), log(this->scheduler), caller(this->scheduler, DialLimits{}),
 			  orders(this->caller), journal(this->scheduler, this->log, this->events,
-											JournalPair{PROGRESS, SpareOf(PROGRESS),
+											JournalPair{PROGRESS, SparePartitionOf(PROGRESS),
 														[](const std::string &key) {
 															return SpareKey{key, false};
 														}},
--- a/tests/test_accounts.cpp
+++ b/tests/test_accounts.cpp
@@ -23,7 +23,7 @@
 	for (const auto &[name, key] : keys) {
 		ClientAccount account;
 		account.name = AccountName(name);
-		account.keys = {HashOfKey(key)};
+		account.keys = {HashKey(key)};
 		out.push_back(account);
 	}
 	return std::make_shared<const AccountList>(std::move(out));
@@ -204,9 +204,9 @@
 	for (int n = 0; n < 3000; n++) {
 		clock.After(Millis(n), [&, n] {
 			/* Half of the callers come with the same bad key, half with a fresh one each. */
-			const KeyHash key = HashOfKey(n % 2 == 0 ? KEY_BAD : "bad-" + std::to_string(n));
+			const KeyHash key = HashKey(n % 2 == 0 ? KEY_BAD : "bad-" + std::to_string(n));
 			keys.Ask(key, [&](KeyVerdict it) { refused += it == KeyVerdict::KV_UNKNOWN ? 1 : 0; });
-			CHECK(keys.Find(HashOfKey(KEY_A)) != nullptr);
+			CHECK(keys.Find(HashKey(KEY_A)) != nullptr);
 		});
 	}
 	clock.RunUntil(Millis(4000));
@@ -222,10 +222,10 @@
 	KeyCheck keys(
 			clock, [&] { return accounts; }, [&](const std::function<void(bool)> &done) { done(true); });
 	KeyVerdict verdict = KeyVerdict::KV_KNOWN;
-	keys.Ask(HashOfKey(KEY_B), [&](KeyVerdict it) { verdict = it; });
+	keys.Ask(HashKey(KEY_B), [&](KeyVerdict it) { verdict = it; });
 	CHECK(verdict == KeyVerdict::KV_UNKNOWN);
 	accounts = Accounts({{"oyo", KEY_B}});
-	keys.Ask(HashOfKey(KEY_B), [&](KeyVerdict it) { verdict = it; });
+	keys.Ask(HashKey(KEY_B), [&](KeyVerdict it) { verdict = it; });
 	CHECK(verdict == KeyVerdict::KV_KNOWN);
 }
 
@@ -238,7 +238,7 @@
 	const auto before = DecodeSubmission(spec.id, EncodeSubmission(spec));
 	REQUIRE(before);
 	CHECK(before->account == AccountName());
-	CHECK(MayHandle(before->account, AccountName("oyo")));
+	CHECK(MayAccess(before->account, AccountName("oyo")));
 	spec.account = AccountName("oyo");
 	const auto after = DecodeSubmission(spec.id, EncodeSubmission(spec));
 	REQUIRE(after);
@@ -258,12 +258,12 @@
 			R"([{"name":"a","api-keys":["k1","k2"],"weight":2.5,"maximum":{"cpu":100,"mem-mb":200}},{"name":"b","api-keys":[]}])"));
 	REQUIRE(whole);
 	REQUIRE(whole->accounts);
-	const ClientAccount *a = whole->accounts->FindByKey(HashOfKey("k2"));
+	const ClientAccount *a = whole->accounts->FindByKey(HashKey("k2"));
 	REQUIRE(a != nullptr);
 	CHECK(a->name == AccountName("a"));
 	CHECK(a->weight == 2.5);
 	CHECK(a->maximum == Resources{100, 200, 0});
-	CHECK(whole->accounts->FindByKey(HashOfKey("k3")) == nullptr);
+	CHECK(whole->accounts->FindByKey(HashKey("k3")) == nullptr);
 	CHECK(DecodeConfig(config("[]"))->accounts);
 	CHECK(!DecodeConfig(R"({"version":7,"routes":[],"services":[]})")->accounts);
 	const std::array bad = {
--- a/tests/test_group.cpp
+++ b/tests/test_group.cpp
@@ -61,7 +61,7 @@
 		REQUIRE(owner != nullptr);
 		CHECK(IsStrong(*owner));
 	}
-	std::ranges::for_each(world.nodes, [](const auto &it) { CHECK(it->member.StandsBy() == !IsStrong(*it)); });
+	std::ranges::for_each(world.nodes, [](const auto &it) { CHECK(it->member.IsStandby() == !IsStrong(*it)); });
 
 	/* With the strong ones gone, the weak ones take over. */
 	for (const auto &node : world.nodes) {
@@ -98,14 +98,14 @@
 	JobWorld world(0);
 	BootAll(world, 2, 4);
 	world.clock.RunUntil(Millis(5000));
-	CHECK(std::ranges::none_of(world.nodes, [](const auto &it) { return it->member.StandsBy(); }));
+	CHECK(std::ranges::none_of(world.nodes, [](const auto &it) { return it->member.IsStandby(); }));
 }
 
 TEST_CASE("nodes alike all take part, and don't wait long for the first join")
 {
 	JobWorld world(3);
 	world.clock.RunUntil(Millis(1000));
-	CHECK(std::ranges::none_of(world.nodes, [](const auto &it) { return it->member.StandsBy(); }));
+	CHECK(std::ranges::none_of(world.nodes, [](const auto &it) { return it->member.IsStandby(); }));
 	CHECK(world.OwnerOf(ServiceName("calc")) != nullptr);
 }
 
@@ -192,7 +192,7 @@
 		world.Boot("b-strong-" + std::to_string(n), STRONG);
 	}
 	world.clock.RunUntil(Millis(10000));
-	std::ranges::for_each(world.nodes, [](const auto &it) { CHECK(it->member.StandsBy() == !IsStrong(*it)); });
+	std::ranges::for_each(world.nodes, [](const auto &it) { CHECK(it->member.IsStandby() == !IsStrong(*it)); });
 	for (const char *service : {"calc", "grid"}) {
 		WorldNode *owner = world.OwnerOf(ServiceName(service));
 		REQUIRE(owner != nullptr);
@@ -231,7 +231,7 @@
 		world.Boot("b-strong-" + std::to_string(n), STRONG);
 	}
 	world.clock.RunUntil(Millis(20000));
-	std::ranges::for_each(world.nodes, [](const auto &it) { CHECK(it->member.StandsBy() == !IsStrong(*it)); });
+	std::ranges::for_each(world.nodes, [](const auto &it) { CHECK(it->member.IsStandby() == !IsStrong(*it)); });
 	for (const char *service : {"calc", "grid"}) {
 		WorldNode *owner = world.OwnerOf(ServiceName(service));
 		REQUIRE(owner != nullptr);
@@ -251,12 +251,12 @@
 	}
 	world.clock.RunUntil(Millis(12000));
 	const auto taking_part = [&world] {
-		return std::ranges::count_if(world.nodes, [](const auto &it) { return it->up && !it->member.StandsBy(); });
+		return std::ranges::count_if(world.nodes, [](const auto &it) { return it->up && !it->member.IsStandby(); });
 	};
 	CHECK(taking_part() == WorldNode::PARTS / 2);
 	/* Another one takes the place of each that dies. */
 	const auto first =
-			std::ranges::find_if(world.nodes, [](const auto &it) { return it->up && !it->member.StandsBy(); });
+			std::ranges::find_if(world.nodes, [](const auto &it) { return it->up && !it->member.IsStandby(); });
 	REQUIRE(first != world.nodes.end());
 	JobWorld::Kill(**first);
 	world.clock.RunUntil(Millis(20000));
--- a/tests/test_owner_missed.cpp
+++ b/tests/test_owner_missed.cpp
@@ -87,7 +87,7 @@
 	NoEventLog events;
 	const PartitionId main{"keyed.jobs.calc", 0};
 	PairedJournal journal(clock, log, events,
-						  JournalPair{main, SpareOf(main),
+						  JournalPair{main, SparePartitionOf(main),
 									  [](const std::string &key) {
 										  return SpareKey{key, true};
 									  }},
--- a/tests/test_silent_partition.cpp
+++ b/tests/test_silent_partition.cpp
@@ -95,11 +95,11 @@
 	const auto held = [&world](const PartitionId &partition, const std::string &name) {
 		return std::ranges::count(world.store.Newest(partition, {}).records, name, &KeyedRecord::key);
 	};
-	CHECK(held(SpareOf(JOURNAL), key) == 1);
+	CHECK(held(SparePartitionOf(JOURNAL), key) == 1);
 	CHECK(held(JOURNAL, job.spec.id.Value()) == 0);
 	Mute(world, JOURNAL, false);
 	world.clock.RunUntil(SETTLED + Millis(5000));
-	CHECK(held(SpareOf(JOURNAL), key) == 0);
+	CHECK(held(SparePartitionOf(JOURNAL), key) == 0);
 	CHECK(held(JOURNAL, job.spec.id.Value()) == 1);
 }
 
