--- a/src/node/config_exchange.cpp
+++ b/src/node/config_exchange.cpp
@@ -24,7 +24,7 @@
 	});
 }
 
-void ConfigExchange::NotePeer(const std::string &address)
+void ConfigExchange::AddPeer(const std::string &address)
 {
 	if (address.empty() || address == this->self || std::ranges::find(this->known, address) != this->known.end()) {
 		return;
--- a/src/node/config_exchange.h
+++ b/src/node/config_exchange.h
@@ -52,7 +52,7 @@
 	/** Begins to watch the store. */
 	void Start();
 	/** Learns of another node. @param address Where it answers. */
-	void NotePeer(const std::string &address);
+	void AddPeer(const std::string &address);
 	/** Makes sure that this node has the newest configuration. @param done Gets whether it is known to; perhaps never,
 	 * when that can't be found out. */
 	void Confirm(const std::function<void(bool)> &done);
--- a/src/node/job_desk.cpp
+++ b/src/node/job_desk.cpp
@@ -17,12 +17,12 @@
 
 } // namespace
 
-JobDesk::JobDesk(Scheduler &scheduler, KeyedLog &log, ShardHost &host, OwnerLookup &lookup, EventLog &events)
+JobApi::JobApi(Scheduler &scheduler, KeyedLog &log, ShardHost &host, OwnerLookup &lookup, EventLog &events)
 		: scheduler(scheduler), log(log), host(host), lookup(lookup), events(events)
 {
 }
 
-void JobDesk::Configure(const JobConfig &config)
+void JobApi::Configure(const JobConfig &config)
 {
 	if (config.version > this->config.version) {
 		this->config = config;
@@ -30,22 +30,21 @@
 	}
 }
 
-void JobDesk::Submit(const JobSpec &spec, const ServiceName &service, Millis deadline, Done done)
+void JobApi::Submit(const JobSpec &spec, const ServiceName &service, Millis deadline, Done done)
 {
 	this->Record(std::make_shared<Pending>(
 			Pending{service, KeyedRecord{KeyOf(InboxKey{spec.id, spec.account}), EncodeSubmission(spec)},
 					this->scheduler.Now(), deadline, false, std::move(done)}));
 }
 
-void JobDesk::Cancel(const JobId &id, const AccountName &account, const ServiceName &service, Millis deadline,
-					 Done done)
+void JobApi::Cancel(const JobId &id, const AccountName &account, const ServiceName &service, Millis deadline, Done done)
 {
 	this->Record(std::make_shared<Pending>(Pending{service,
 												   KeyedRecord{KeyOf(InboxKey{id, account, true}), std::string("1")},
 												   this->scheduler.Now(), deadline, false, std::move(done)}));
 }
 
-void JobDesk::Record(const std::shared_ptr<Pending> &it)
+void JobApi::Record(const std::shared_ptr<Pending> &it)
 {
 	this->open++;
 	this->scheduler.After(std::max(it->deadline - ANSWER_MARGIN - this->scheduler.Now(), Millis(1)),
@@ -70,7 +69,7 @@
 	}
 }
 
-void JobDesk::AskOwner(const std::shared_ptr<Pending> &it)
+void JobApi::AskOwner(const std::shared_ptr<Pending> &it)
 {
 	const auto make = [it](uint64_t number) {
 		glade::wire::RecordQuestionT out;
@@ -92,7 +91,7 @@
 			it->deadline - INBOX_RESERVE);
 }
 
-void JobDesk::OnOwner(const std::shared_ptr<Pending> &it, ResultCode code)
+void JobApi::OnOwner(const std::shared_ptr<Pending> &it, ResultCode code)
 {
 	if (code == ResultCode::RC_OK || code == ResultCode::RC_OTHER_ACCOUNT || code == ResultCode::RC_ACCOUNT_BUSY) {
 		this->Finish(it, code);
@@ -103,7 +102,7 @@
 	this->TryInbox(it);
 }
 
-void JobDesk::TryInbox(const std::shared_ptr<Pending> &it)
+void JobApi::TryInbox(const std::shared_ptr<Pending> &it)
 {
 	if (!it->done) {
 		return;
@@ -124,7 +123,7 @@
 				  });
 }
 
-void JobDesk::OnAppended(const std::shared_ptr<Pending> &it, ResultCode code)
+void JobApi::OnAppended(const std::shared_ptr<Pending> &it, ResultCode code)
 {
 	if (code == ResultCode::RC_OK) {
 		this->Finish(it, code);
@@ -142,7 +141,7 @@
 	});
 }
 
-void JobDesk::Finish(const std::shared_ptr<Pending> &it, ResultCode code)
+void JobApi::Finish(const std::shared_ptr<Pending> &it, ResultCode code)
 {
 	const Done done = std::exchange(it->done, nullptr);
 	if (!done) {
@@ -157,7 +156,7 @@
 	done(code);
 }
 
-JobAnswer JobDesk::AnswerHere(const JobQuestion &question) const
+JobAnswer JobApi::AnswerLocally(const JobQuestion &question) const
 {
 	const ShardOwner *owner = this->host.Find(question.service);
 	const Shard *shard = owner == nullptr ? nullptr : owner->Running();
@@ -182,9 +181,9 @@
 					 0};
 }
 
-void JobDesk::Ask(const JobQuestion &question, Millis deadline, std::function<void(const JobAnswer &)> done)
+void JobApi::Ask(const JobQuestion &question, Millis deadline, std::function<void(const JobAnswer &)> done)
 {
-	const JobAnswer here = this->AnswerHere(question);
+	const JobAnswer here = this->AnswerLocally(question);
 	if (here.code != ResultCode::RC_PEER_UNAVAILABLE) {
 		done(here);
 		return;
--- a/src/node/job_desk.h
+++ b/src/node/job_desk.h
@@ -7,7 +7,7 @@
 #include "shard_host.h"
 
 /** Answers callers. Submissions and cancellations are durable in the log before they are confirmed. */
-class JobDesk {
+class JobApi {
 public:
 	using Done = std::function<void(ResultCode)>;
 
@@ -18,7 +18,7 @@
 	 * @param lookup Owners elsewhere; outlives this.
 	 * @param events Lines; outlives this.
 	 */
-	JobDesk(Scheduler &scheduler, KeyedLog &log, ShardHost &host, OwnerLookup &lookup, EventLog &events);
+	JobApi(Scheduler &scheduler, KeyedLog &log, ShardHost &host, OwnerLookup &lookup, EventLog &events);
 
 	/** Takes a configuration. @param config It; one with an older version is ignored. */
 	void Configure(const JobConfig &config);
@@ -41,7 +41,7 @@
 	 * answer. */
 	void Ask(const JobQuestion &question, Millis deadline, std::function<void(const JobAnswer &)> done);
 	/** @return The answer of this node alone. @param question The question. */
-	[[nodiscard]] JobAnswer AnswerHere(const JobQuestion &question) const;
+	[[nodiscard]] JobAnswer AnswerLocally(const JobQuestion &question) const;
 	/** @return Appends under way: a stop waits for them. */
 	[[nodiscard]] size_t Open() const { return this->open; }
 
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -140,7 +140,7 @@
 	if (!address || !this->frames.Listen(*address)) {
 		return false;
 	}
-	std::ranges::for_each(this->self.seeds, [this](const std::string &it) { this->configs.NotePeer(it); });
+	std::ranges::for_each(this->self.seeds, [this](const std::string &it) { this->configs.AddPeer(it); });
 	this->configs.Start();
 	this->links.feed.Start(*this);
 	this->member.Start();
@@ -184,7 +184,7 @@
 												ResultCode, const std::vector<PartitionHolder> &rows) {
 		if (!still.expired()) {
 			std::ranges::for_each(rows, [this](const PartitionHolder &it) {
-				this->configs.NotePeer(ParseMemberName(it.member).address);
+				this->configs.AddPeer(ParseMemberName(it.member).address);
 			});
 		}
 	});
@@ -344,7 +344,7 @@
 
 void NodeCore::OnJobQuestion(FrameLink &link, const glade::wire::JobQuestionT &in)
 {
-	const JobAnswer answer = this->desk.AnswerHere(
+	const JobAnswer answer = this->desk.AnswerLocally(
 			JobQuestion{ServiceName(in.service), RouteName(in.route), JobId(in.job), AccountName(in.account)});
 	glade::wire::JobAnswerT out;
 	out.number = in.number;
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -63,9 +63,9 @@
 
 	/** @return The exchange of configurations with other nodes. */
 	[[nodiscard]] const ConfigExchange &Configs() const { return this->configs; }
-	JobDesk &Desk() { return this->desk; }                             ///< Answers to callers.
+	JobApi &Desk() { return this->desk; }                              ///< Answers to callers.
 	[[nodiscard]] const ShardHost &Host() const { return this->host; } ///< Shards owned.
-	[[nodiscard]] const JobDesk &Desk() const { return this->desk; }   ///< Answers to callers.
+	[[nodiscard]] const JobApi &Desk() const { return this->desk; }    ///< Answers to callers.
 
 private:
 	Scheduler &scheduler;                             ///< Clock and timers.
@@ -74,7 +74,7 @@
 	GroupMember member;                               ///< Its part in the group.
 	ShardHost host;                                   ///< Shards owned.
 	OwnerLookup lookup;                               ///< Owners elsewhere.
-	JobDesk desk;                                     ///< Answers.
+	JobApi desk;                                      ///< Answers.
 	FramePeers peers;                                 ///< Other nodes, for the configuration.
 	ConfigExchange configs;                           ///< What they tell of it.
 	Millis peers_read_at{-1000000};                   ///< When the group's members were last read.
--- a/tests/job_world.h
+++ b/tests/job_world.h
@@ -98,7 +98,7 @@
 	GroupMember member;      ///< Its part in the group.
 	ShardHost host;          ///< Its shards.
 	OwnerLookup lookup;      ///< Owners elsewhere.
-	JobDesk desk;            ///< Its answers.
+	JobApi desk;             ///< Its answers.
 	std::string name;        ///< Its name.
 	bool up = true;          ///< Whether it was not killed.
 };
--- a/tests/soak/soak_boxes.cpp
+++ b/tests/soak/soak_boxes.cpp
@@ -62,7 +62,7 @@
 	if (answer.outcome == OrderOutcome::OO_OTHER_INCARNATION) {
 		status = 421;
 	} else if (status != 200) {
-		json["reason"] = TextOf(ReasonWordOf(answer.outcome));
+		json["reason"] = TextOf(RefusalReasonName(answer.outcome));
 	}
 	return json;
 }
@@ -80,7 +80,7 @@
 	}
 	const QJsonObject json = JsonOf(request.body);
 	const FenceToken fence(static_cast<uint64_t>(json["fencing-token"].toInteger()));
-	const TaskId task = TaskOf(json["task"].toString().toStdString());
+	const TaskId task = ParseTaskId(json["task"].toString().toStdString());
 	const RunNumber run(static_cast<uint32_t>(json["run-id"].toInteger()));
 	const Millis until = this->WorldTime(*box, Millis(json["expiry-ms"].toInteger()));
 	std::function<OrderAnswer()> work;
@@ -142,13 +142,13 @@
 	json["born"] = static_cast<qint64>(box.life.started.Value());
 	QJsonArray running;
 	for (const RunningRow &it : seen.running) {
-		running.append(QJsonArray{TextOf(TaskText(it.task)), static_cast<qint64>(it.run.Value()), "",
+		running.append(QJsonArray{TextOf(FormatTaskId(it.task)), static_cast<qint64>(it.run.Value()), "",
 								  static_cast<qint64>(it.share), 0});
 	}
 	QJsonArray ended;
 	for (const EndedRow &it : seen.ended) {
-		ended.append(QJsonArray{static_cast<qint64>(it.number), TextOf(TaskText(it.task)),
-								static_cast<qint64>(it.run.Value()), TextOf(EndingWordOf(it.ending)), ""});
+		ended.append(QJsonArray{static_cast<qint64>(it.number), TextOf(FormatTaskId(it.task)),
+								static_cast<qint64>(it.run.Value()), TextOf(RunEndingName(it.ending)), ""});
 	}
 	json["running"] = running;
 	json["finished"] = ended;
--- a/tests/soak/soak_store.cpp
+++ b/tests/soak/soak_store.cpp
@@ -89,7 +89,7 @@
 	const QUrlQuery query = QueryOf(request.target);
 	const PartitionId partition = PartitionOf(query);
 	std::vector<KeyedRecord> records;
-	if (!UnframeRecords(request.body, records)) {
+	if (!DecodeRecords(request.body, records)) {
 		answer->Answer(400, std::string());
 		return;
 	}
@@ -136,7 +136,7 @@
 							  [this, answer, partition, from, until] { this->Read(answer, partition, from, until); });
 		return;
 	}
-	this->Reply(answer, 200, OffsetBytes(read.next) + OffsetBytes(0) + FrameRecords(read.records));
+	this->Reply(answer, 200, OffsetBytes(read.next) + OffsetBytes(0) + EncodeRecords(read.records));
 }
 
 void SoakStore::Newest(const Answering &answer, const QUrlQuery &query)
--- a/tests/test_accounts.cpp
+++ b/tests/test_accounts.cpp
@@ -98,10 +98,10 @@
 		return sink.status;
 	}
 
-	JobWorld world;  ///< The world.
-	WorldNode &node; ///< Its node.
-	SlowFeed feed;   ///< Tells whether its configuration is the newest.
-	JobFront front;  ///< Its callers.
+	JobWorld world;       ///< The world.
+	WorldNode &node;      ///< Its node.
+	SlowFeed feed;        ///< Tells whether its configuration is the newest.
+	JobHttpHandler front; ///< Its callers.
 };
 
 } // namespace
--- a/tests/test_config_exchange.cpp
+++ b/tests/test_config_exchange.cpp
@@ -94,7 +94,7 @@
 		}
 		for (const auto &it : this->nodes) {
 			for (size_t n = 0; exchanges && n < PEERS; n++) {
-				it->exchange.NotePeer(NameOf(n));
+				it->exchange.AddPeer(NameOf(n));
 			}
 			this->clock.After(Millis(this->Draw(200)), [node = it.get()] { node->exchange.Start(); });
 		}
--- a/tests/test_job_matrix.cpp
+++ b/tests/test_job_matrix.cpp
@@ -245,12 +245,12 @@
 	WorldNode *owner = world.OwnerOf(ServiceName("calc"));
 	REQUIRE(owner != nullptr);
 	const JobQuestion count{ServiceName("calc"), RouteName("r-calc"), JobId(), AccountName()};
-	CHECK(owner->desk.AnswerHere(count).code == ResultCode::RC_OK);
+	CHECK(owner->desk.AnswerLocally(count).code == ResultCode::RC_OK);
 	/* Silent for all: nobody else can take the shard over, and it stays the owner. */
 	EachNode(world, [](WorldNode &it) { it.log.faults.silent = true; });
 	world.clock.RunUntil(Millis(7000));
 	CHECK(world.OwnerOf(ServiceName("calc")) == owner);
-	CHECK(owner->desk.AnswerHere(count).code == ResultCode::RC_PEER_UNAVAILABLE);
+	CHECK(owner->desk.AnswerLocally(count).code == ResultCode::RC_PEER_UNAVAILABLE);
 }
 
 TEST_CASE("planned work doesn't stop a lasting task while another of its step is on a box that doesn't answer")
--- a/tests/test_other_writer.cpp
+++ b/tests/test_other_writer.cpp
@@ -160,14 +160,14 @@
 
 TEST_CASE("a record without a key hides none of those behind it")
 {
-	std::string bytes("\0\0\0\0", 4);               /* no bytes */
-	bytes += std::string("\0\0\0\2\x09q", 6);       /* a key longer than the record */
-	bytes += FrameRecords({KeyedRecord{"k", "v"}}); /* whole */
+	std::string bytes("\0\0\0\0", 4);                /* no bytes */
+	bytes += std::string("\0\0\0\2\x09q", 6);        /* a key longer than the record */
+	bytes += EncodeRecords({KeyedRecord{"k", "v"}}); /* whole */
 	std::vector<KeyedRecord> records;
-	REQUIRE(UnframeRecords(bytes, records));
+	REQUIRE(DecodeRecords(bytes, records));
 	/* Each counts as an offset. */
 	CHECK(records == std::vector<KeyedRecord>{KeyedRecord{}, KeyedRecord{}, KeyedRecord{"k", "v"}});
-	CHECK_FALSE(UnframeRecords(std::string("\0\0\0\5ab", 6), records));
+	CHECK_FALSE(DecodeRecords(std::string("\0\0\0\5ab", 6), records));
 }
 
 TEST_CASE("a holder of the fleet passes over records of it that nobody here has written")
--- a/tests/test_owner_work.cpp
+++ b/tests/test_owner_work.cpp
@@ -9,11 +9,11 @@
 TEST_CASE("a report that only counts its box's writes says nothing new")
 {
 	const std::string head = R"({"service":"calc","address":"a:1","state":"ready","call-seq":)";
-	CHECK(ContentOf(head + "7}") == ContentOf(head + "18}"));
-	CHECK(ContentOf(head + R"(7,"zone":"z"})") == ContentOf(head + R"(8,"zone":"z"})"));
-	CHECK(ContentOf(head + R"(7,"zone":"z"})") != ContentOf(head + R"(7,"zone":"y"})"));
-	CHECK(ContentOf(R"({"state":"ready"})") != ContentOf(R"({"state":"draining"})"));
-	CHECK(ContentOf(R"({"call-seq")") != ContentOf(""));
+	CHECK(ReportContentHash(head + "7}") == ReportContentHash(head + "18}"));
+	CHECK(ReportContentHash(head + R"(7,"zone":"z"})") == ReportContentHash(head + R"(8,"zone":"z"})"));
+	CHECK(ReportContentHash(head + R"(7,"zone":"z"})") != ReportContentHash(head + R"(7,"zone":"y"})"));
+	CHECK(ReportContentHash(R"({"state":"ready"})") != ReportContentHash(R"({"state":"draining"})"));
+	CHECK(ReportContentHash(R"({"call-seq")") != ReportContentHash(""));
 }
 
 TEST_CASE("a life whose report is gone and that runs nothing gets no lease orders")
@@ -139,10 +139,10 @@
 TEST_CASE("names of tasks are read back as written, and others name a job without tasks")
 {
 	const TaskId task{JobId("00ab"), 4, 0, 31};
-	CHECK(TaskText(task) == "00ab.4.0.31");
-	CHECK(TaskOf(TaskText(task)) == task);
+	CHECK(FormatTaskId(task) == "00ab.4.0.31");
+	CHECK(ParseTaskId(FormatTaskId(task)) == task);
 	for (const char *text : {"", "a", "a.1", "a.1.2", "a.1.2.3.4", "..."}) {
-		const TaskId odd = TaskOf(text);
+		const TaskId odd = ParseTaskId(text);
 		CHECK(odd.job == JobId(std::string(text) == "..." ? "" : text));
 	}
 }
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -63,7 +63,7 @@
 	const std::optional<BoxReport> report = DecodeReport(BoxId("i-1"), bytes("1700000000123"));
 	REQUIRE(report);
 	CHECK(report->life == BoxIncarnation{BoxId("i-1"), Millis(1700000000123)});
-	CHECK(ContentOf(bytes("1700000000123")) != ContentOf(bytes("1700000000124")));
+	CHECK(ReportContentHash(bytes("1700000000123")) != ReportContentHash(bytes("1700000000124")));
 	for (const char *born : {"\"x\"", "-1", "1.5", "null", "[]"}) {
 		CHECK_FALSE(DecodeReport(BoxId("i-1"), bytes(born)));
 	}
@@ -206,7 +206,7 @@
 	WorldNode &node = *world.nodes.front();
 	world.clock.RunUntil(Millis(3000));
 	Millis paused(-1000000);
-	JobFront front(
+	JobHttpHandler front(
 			node.scheduler, node.desk, node.feed, [&paused] { return paused; },
 			[](const std::function<void(bool)> &done) { done(true); }, node.events);
 	CallerRequest request;
@@ -235,7 +235,7 @@
 	JobWorld world(1);
 	WorldNode &node = *world.nodes.front();
 	world.clock.RunUntil(Millis(3000));
-	JobFront front(
+	JobHttpHandler front(
 			node.scheduler, node.desk, node.feed, [] { return Millis(-1000000); },
 			[](const std::function<void(bool)> &done) { done(true); }, node.events);
 	const auto make = [](const char *id, const char *wait) {
