--- a/src/bench/overload_bench.cpp
+++ b/src/bench/overload_bench.cpp
@@ -120,11 +120,11 @@
 	double refusal_ms = 0;        ///< Time until refusals, sum.
 	uint64_t refusals = 0;        ///< Refusals.
 
-	static PathSettings SettingsOf(const Handling &handling)
+	static RequestSettings SettingsOf(const Handling &handling)
 	{
-		PathSettings settings;
+		RequestSettings settings;
 		settings.tries = handling.tries;
-		settings.spill = false;
+		settings.spillover = false;
 		return settings;
 	}
 
@@ -171,7 +171,7 @@
 struct BenchCaller : public CallerSink {
 	BenchCaller(OverloadRun &run, size_t kind) : run(run), kind(kind), began(run.clock.Now()) {}
 
-	void Begin(const AnswerHead &head) override { this->status = head.status; }
+	void Begin(const ResponseHead &head) override { this->status = head.status; }
 	void Body(std::string_view) override {}
 	void End() override
 	{
@@ -183,7 +183,7 @@
 			this->run.refusal_ms += static_cast<double>(took.Value());
 		}
 	}
-	void Break() override {}
+	void Abort() override {}
 	[[nodiscard]] bool Congested() const override { return false; }
 
 	OverloadRun &run; ///< The run.
@@ -218,12 +218,12 @@
 			if (*it == nullptr) {
 				return;
 			}
-			AnswerHead head;
+			ResponseHead head;
 			head.status = endpoint == FAILING ? STATUS_ERROR : STATUS_GOOD;
 			head.length = 0;
-			(*it)->OnAnswerHead(head);
+			(*it)->OnResponseHead(head);
 			if (*it != nullptr) {
-				std::exchange(*it, nullptr)->OnAnswerEnd();
+				std::exchange(*it, nullptr)->OnResponseEnd();
 			}
 		});
 	}
--- a/src/bench/proxy_bench.cpp
+++ b/src/bench/proxy_bench.cpp
@@ -49,7 +49,7 @@
 	std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest) override
 	{
 		static const std::string _body(200, 'x');
-		AnswerHead head;
+		ResponseHead head;
 		head.length = _body.size();
 		sink.Begin(head);
 		sink.Body(_body);
@@ -128,7 +128,7 @@
 public:
 	explicit BenchEntry(quint16 endpoint)
 			: path(EntryIdentity{MemberName("entry"), ZoneName("z"), Incarnation(1)}, GateSettings{}, LeaseTimes{},
-				   KeyLimits{}, PathSettings{}, this->credentials),
+				   KeyLimits{}, RequestSettings{}, this->credentials),
 			  lane(this->path, CallerLimits{}, CallerLimits{}, DialLimits{Millis(1000), Millis(4000), 600}),
 			  listener([this](qintptr socket) { this->lane.Take(socket, false); })
 	{
@@ -186,7 +186,7 @@
 
 	[[nodiscard]] bool Busy() const { return this->reader != nullptr; }
 
-	void OnHead(AnswerHead head) override { this->good = head.status == STATUS_OK; }
+	void OnHead(ResponseHead head) override { this->good = head.status == STATUS_OK; }
 	void OnBody(std::string_view) override {}
 
 	bool again = true;     ///< Whether the next request follows at once.
--- a/src/bench/slots_bench.cpp
+++ b/src/bench/slots_bench.cpp
@@ -35,7 +35,7 @@
 };
 
 /** Entries that share endpoints. */
-class SlotsRun : public SlotMail {
+class SlotsRun : public SlotTransport {
 public:
 	SlotsRun(uint32_t entries, Sharing sharing, uint64_t seed) : sharing(sharing), dice(seed)
 	{
@@ -162,17 +162,17 @@
 	{
 		const auto gate = node.routes->Gates().begin()->second;
 		const Millis asked = this->clock.Now();
-		SlotAsk ask;
+		SlotRequest ask;
 		ask.service = ServiceName("s");
 		ask.deadline = asked + DEADLINE;
-		ask.done = [this, gate, asked](const GateAnswer &answer) { this->OnAnswer(gate, asked, answer); };
-		AskId id;
+		ask.done = [this, gate, asked](const GateDecision &answer) { this->OnAnswer(gate, asked, answer); };
+		SlotRequestId id;
 		if (const auto now = gate->Ask(std::move(ask), asked, id); now) {
 			this->OnAnswer(gate, asked, *now);
 		}
 	}
 
-	void OnAnswer(const std::shared_ptr<PoolGate> &gate, Millis asked, const GateAnswer &answer)
+	void OnAnswer(const std::shared_ptr<PoolGate> &gate, Millis asked, const GateDecision &answer)
 	{
 		if (answer.code != ResultCode::RC_OK) {
 			return;
@@ -184,7 +184,7 @@
 		this->clock.After(work, [this, gate, work, box = answer.grant.box] {
 			this->busy_ms += static_cast<double>(work.Value());
 			this->running[box]--;
-			gate->Release(box, ServiceName("s"), CallOutcome::CO_GOOD, work, this->clock.Now());
+			gate->Release(box, ServiceName("s"), CallOutcome::CO_SUCCESS, work, this->clock.Now());
 		});
 	}
 };
--- a/src/entry/credential_list.h
+++ b/src/entry/credential_list.h
@@ -6,7 +6,7 @@
 #include "../request/request_path.h"
 
 /** Credentials from the settings. Immutable, so that all lanes read it without a lock. */
-class CredentialList : public Credentials {
+class CredentialList : public CredentialStore {
 public:
 	/**
 	 * @param records Records of the setting `credentials`.
--- a/src/entry/entry_dump.cpp
+++ b/src/entry/entry_dump.cpp
@@ -20,7 +20,7 @@
 	QJsonArray gates;
 	for (const auto &[pool, gate] : path.routes.Gates()) {
 		QJsonArray endpoints;
-		for (const EndpointView &it : gate->Endpoints(now)) {
+		for (const EndpointStatus &it : gate->Endpoints(now)) {
 			QJsonObject row;
 			row["box"] = Text(it.endpoint.box.Value());
 			row["open"] = it.endpoint.open;
@@ -63,7 +63,7 @@
 	return rows;
 }
 
-QJsonObject DumpCounters(const PathCounters &counters)
+QJsonObject DumpCounters(const RequestCounters &counters)
 {
 	QJsonObject row;
 	row["received"] = Number(counters.received);
--- a/src/entry/entry_server.cpp
+++ b/src/entry/entry_server.cpp
@@ -33,9 +33,9 @@
 	return keys;
 }
 
-PathSettings PathOf(const Settings &settings)
+RequestSettings PathOf(const Settings &settings)
 {
-	PathSettings path;
+	RequestSettings path;
 	path.deadline_urgent = settings.Duration("deadline_urgent");
 	path.deadline_normal = settings.Duration("deadline_normal");
 	path.deadline_batch = settings.Duration("deadline_batch");
--- a/src/entry/keeper_client.cpp
+++ b/src/entry/keeper_client.cpp
@@ -109,5 +109,5 @@
 		return;
 	}
 	this->path.routes.ExtendLease(it->second + Millis(grant.lease_ms));
-	this->path.routes.NoteOffset(LogOffset(grant.offset));
+	this->path.routes.AdvanceOffset(LogOffset(grant.offset));
 }
--- a/src/entry/peer_mail.h
+++ b/src/entry/peer_mail.h
@@ -8,7 +8,7 @@
 #include <map>
 
 /** Keeps a connection to each entry of the zone. */
-class PeerMail : public SlotMail {
+class PeerMail : public SlotTransport {
 public:
 	explicit PeerMail(Scheduler &scheduler) : scheduler(scheduler) {}
 
--- a/src/net/caller_link.cpp
+++ b/src/net/caller_link.cpp
@@ -19,7 +19,7 @@
 	QObject::connect(&this->socket, &QTcpSocket::disconnected, this, [this] { this->OnGone(); });
 	QObject::connect(&this->socket, &QTcpSocket::bytesWritten, this, [this] {
 		if (this->served && !this->Congested()) {
-			this->served->OnCallerDrained();
+			this->served->OnCallerWritable();
 		}
 	});
 	if (!this->socket.setSocketDescriptor(descriptor)) {
@@ -35,7 +35,7 @@
 	this->open--;
 	this->scheduler.Cancel(this->timer);
 	if (this->served) {
-		this->served->OnCallerGone();
+		this->served->OnCallerDisconnected();
 	}
 }
 
@@ -43,7 +43,7 @@
 {
 	if (this->served) {
 		const auto gone = std::move(this->served);
-		gone->OnCallerGone();
+		gone->OnCallerDisconnected();
 	}
 	this->deleteLater();
 }
@@ -137,7 +137,7 @@
 	/* After a bad request nothing on the connection can be trusted: answer and close. */
 	this->busy = true;
 	this->closing = true;
-	AnswerHead head;
+	ResponseHead head;
 	head.status = HttpStatusOf(code);
 	head.headers.Add(std::string(HEADER_RUN), "no");
 	head.headers.Add(std::string(HEADER_CODE), std::to_string(static_cast<int>(code)));
@@ -151,7 +151,7 @@
 	this->End();
 }
 
-void CallerLink::Begin(const AnswerHead &head)
+void CallerLink::Begin(const ResponseHead &head)
 {
 	this->closing = this->closing || !this->reader.KeepAlive() || this->handler.Closing();
 	this->head_request = this->head_request || head.no_body;
@@ -202,7 +202,7 @@
 	}
 }
 
-void CallerLink::Break()
+void CallerLink::Abort()
 {
 	this->served.reset();
 	this->busy = false;
--- a/src/net/caller_link.h
+++ b/src/net/caller_link.h
@@ -34,10 +34,10 @@
 			   qintptr descriptor);
 	~CallerLink() override;
 
-	void Begin(const AnswerHead &head) override;
+	void Begin(const ResponseHead &head) override;
 	void Body(std::string_view data) override;
 	void End() override;
-	void Break() override;
+	void Abort() override;
 	[[nodiscard]] bool Congested() const override;
 
 	/** Closes the connection if nothing is under way on it. */
--- a/src/net/endpoint_link.cpp
+++ b/src/net/endpoint_link.cpp
@@ -77,17 +77,17 @@
 
 	void Abandon() override { this->events = nullptr; }
 
-	void OnHead(AnswerHead head) override
+	void OnHead(ResponseHead head) override
 	{
 		if (this->events != nullptr) {
-			this->events->OnAnswerHead(std::move(head));
+			this->events->OnResponseHead(std::move(head));
 		}
 	}
 
 	void OnBody(std::string_view data) override
 	{
 		if (this->events != nullptr) {
-			this->events->OnAnswerBody(data);
+			this->events->OnResponseBody(data);
 		}
 	}
 
@@ -189,7 +189,7 @@
 		if (!this->sent) {
 			this->Report(CallFailure::CF_NOT_CONNECTED);
 		} else {
-			this->Report(this->reader.HeadDone() ? CallFailure::CF_CUT : CallFailure::CF_NO_ANSWER);
+			this->Report(this->reader.HeadDone() ? CallFailure::CF_TRUNCATED : CallFailure::CF_NO_RESPONSE);
 		}
 	}
 
@@ -205,7 +205,7 @@
 			Discard(done);
 		}
 		if (CallEvents *told = std::exchange(this->events, nullptr); told != nullptr) {
-			told->OnAnswerEnd();
+			told->OnResponseEnd();
 		}
 	}
 
--- a/src/net/http_codec.cpp
+++ b/src/net/http_codec.cpp
@@ -104,7 +104,8 @@
 	const auto &message = this->parser->beast.get();
 	/* Beast ends a request of an unknown transfer coding with an empty body; its rest would pass for a request. */
 	const auto codings = message.count(http::field::transfer_encoding);
-	if (codings > 1 || (codings == 1 && !SameText(std::string(message[http::field::transfer_encoding]), "chunked"))) {
+	if (codings > 1 ||
+		(codings == 1 && !EqualsIgnoreCase(std::string(message[http::field::transfer_encoding]), "chunked"))) {
 		return true;
 	}
 	const std::string length(message[http::field::content_length]);
@@ -151,7 +152,7 @@
 		return ParseProgress::PR_READY;
 	}
 	if (beast.is_header_done() && !this->continued &&
-		SameText(std::string(beast.get()[http::field::expect]), "100-continue")) {
+		EqualsIgnoreCase(std::string(beast.get()[http::field::expect]), "100-continue")) {
 		this->continued = true;
 		return ParseProgress::PR_CONTINUE;
 	}
@@ -200,7 +201,7 @@
 void AnswerReader::PassHead(AnswerParts &parts)
 {
 	const auto &message = this->parser->beast.get();
-	AnswerHead head;
+	ResponseHead head;
 	head.status = static_cast<int>(message.result_int());
 	head.reason = std::string(message.reason());
 	head.headers = FieldsOf(message);
@@ -308,7 +309,7 @@
 	return out.append("\r\n").append(request.body);
 }
 
-std::string WriteAnswerHead(const AnswerHead &head, BodyFraming framing, bool keep_alive)
+std::string WriteAnswerHead(const ResponseHead &head, BodyFraming framing, bool keep_alive)
 {
 	http::response<http::empty_body> message;
 	message.version(HTTP_1_1);
--- a/src/net/http_codec.h
+++ b/src/net/http_codec.h
@@ -77,7 +77,7 @@
 class AnswerParts {
 public:
 	virtual ~AnswerParts() = default;
-	virtual void OnHead(AnswerHead head) = 0;       ///< The head.
+	virtual void OnHead(ResponseHead head) = 0;     ///< The head.
 	virtual void OnBody(std::string_view data) = 0; ///< A part of the body.
 };
 
@@ -152,7 +152,7 @@
  * @param keep_alive Whether the connection stays.
  * @return Bytes.
  */
-std::string WriteAnswerHead(const AnswerHead &head, BodyFraming framing, bool keep_alive);
+std::string WriteAnswerHead(const ResponseHead &head, BodyFraming framing, bool keep_alive);
 
 /**
  * Frames a part of a body as a chunk.
--- a/src/net/http_line.h
+++ b/src/net/http_line.h
@@ -43,7 +43,7 @@
 	/** Forgets who gets the events, and closes the connection. */
 	void Drop();
 
-	void OnHead(AnswerHead head) override { this->status = head.status; }
+	void OnHead(ResponseHead head) override { this->status = head.status; }
 	void OnBody(std::string_view data) override { this->body += data; }
 
 private:
--- a/src/node/metrics_page.cpp
+++ b/src/node/metrics_page.cpp
@@ -110,7 +110,7 @@
 					"\n";
 		}
 	}
-	AnswerHead head;
+	ResponseHead head;
 	head.headers.Add("Content-Type", "text/plain");
 	head.length = text.size();
 	sink.Begin(head);
--- a/src/request/exchange.cpp
+++ b/src/request/exchange.cpp
@@ -119,7 +119,7 @@
 
 void Exchange::ReadDeadline()
 {
-	const PathSettings &settings = this->path.settings;
+	const RequestSettings &settings = this->path.settings;
 	Millis wait = settings.deadline_normal;
 	if (this->facts.work_class == WorkClass::WC_URGENT) {
 		wait = settings.deadline_urgent;
@@ -137,7 +137,7 @@
 {
 	const std::string *word = this->request.headers.Find(HEADER_REPEATABLE);
 	this->facts.repeatable = IsIdempotent(this->request.method) || this->route.row.repeatable ||
-							 (word != nullptr && SameText(*word, "yes"));
+							 (word != nullptr && EqualsIgnoreCase(*word, "yes"));
 }
 
 Result Exchange::ReadKey()
@@ -198,38 +198,38 @@
 {
 	this->state = ExchangeState::ES_WAITING;
 	const uint64_t round = ++this->ask_round;
-	SlotAsk want;
+	SlotRequest want;
 	want.service = this->facts.service;
 	want.work_class = this->facts.work_class;
 	want.deadline = this->facts.deadline;
 	want.avoid = this->tried;
 	want.only_spare = this->request.from_peer && !this->facts.key;
 	want.done = [still = this->weak_from_this(), lane = &this->lane, gate = this->route.gate,
-				 service = this->facts.service, round](const GateAnswer &answer) {
+				 service = this->facts.service, round](const GateDecision &answer) {
 		lane->Post([still, gate, service, round, answer, lane] {
 			if (const auto it = still.lock(); it) {
 				it->OnGate(round, answer);
 			} else if (answer.code == ResultCode::RC_OK) {
-				gate->Release(answer.grant.box, service, CallOutcome::CO_CALLER, Millis(0), lane->Now());
+				gate->Release(answer.grant.box, service, CallOutcome::CO_CANCELLED, Millis(0), lane->Now());
 			}
 		});
 	};
-	const std::optional<GateAnswer> answer = this->route.gate->Ask(std::move(want), this->lane.Now(), this->ask);
+	const std::optional<GateDecision> answer = this->route.gate->Ask(std::move(want), this->lane.Now(), this->ask);
 	if (answer) {
 		this->OnGate(round, *answer);
 	}
 }
 
-void Exchange::OnGate(uint64_t round, const GateAnswer &answer)
+void Exchange::OnGate(uint64_t round, const GateDecision &answer)
 {
 	if (round != this->ask_round || this->state != ExchangeState::ES_WAITING) {
 		if (answer.code == ResultCode::RC_OK) {
-			this->route.gate->Release(answer.grant.box, this->facts.service, CallOutcome::CO_CALLER, Millis(0),
+			this->route.gate->Release(answer.grant.box, this->facts.service, CallOutcome::CO_CANCELLED, Millis(0),
 									  this->lane.Now());
 		}
 		return;
 	}
-	this->ask = AskId();
+	this->ask = SlotRequestId();
 	if (answer.code == ResultCode::RC_OK) {
 		this->Granted(answer.grant);
 		return;
@@ -243,7 +243,7 @@
 bool Exchange::TrySpare()
 {
 	/* A guest is not passed on again, and a keyed request stays with the owner of its key. */
-	if (!this->path.settings.spill || this->request.from_peer || this->facts.key) {
+	if (!this->path.settings.spillover || this->request.from_peer || this->facts.key) {
 		return false;
 	}
 	const std::vector<Peer> peers = this->path.routes.PeersElsewhere();
@@ -296,10 +296,10 @@
 	this->call = this->dialer.Start(address, this->Outgoing(), *this);
 }
 
-void Exchange::OnAnswerHead(AnswerHead it)
+void Exchange::OnResponseHead(ResponseHead it)
 {
 	const std::string *run = it.headers.Find(HEADER_RUN);
-	const bool not_run = it.status == STATUS_UNAVAILABLE && run != nullptr && SameText(*run, RUN_NO);
+	const bool not_run = it.status == STATUS_UNAVAILABLE && run != nullptr && EqualsIgnoreCase(*run, RUN_NO);
 	if (not_run && this->state == ExchangeState::ES_SENT && this->MayRetry()) {
 		this->Retry(CallOutcome::CO_REFUSED);
 		return;
@@ -316,12 +316,12 @@
 	/* An answer has begun: from here on the deadline is the endpoint's word against a stream that may last. */
 	this->lane.Cancel(this->timer);
 	this->timer = TimerId();
-	AnswerHead out = *this->head;
+	ResponseHead out = *this->head;
 	out.headers.RemoveHopByHop();
 	this->sink->Begin(out);
 }
 
-void Exchange::OnAnswerBody(std::string_view data)
+void Exchange::OnResponseBody(std::string_view data)
 {
 	if (this->keep) {
 		this->kept.append(data);
@@ -339,23 +339,23 @@
 	}
 }
 
-void Exchange::OnCallerDrained()
+void Exchange::OnCallerWritable()
 {
 	if (this->call && this->state == ExchangeState::ES_RELAYING) {
 		this->call->SetPaused(false);
 	}
 }
 
-void Exchange::OnAnswerEnd()
+void Exchange::OnResponseEnd()
 {
 	this->SettleKey(true);
 	const bool good = this->head->status < STATUS_SERVER_ERROR;
 	const std::string *run = this->head->headers.Find(HEADER_RUN);
-	const bool refused = this->head->status == STATUS_UNAVAILABLE && run != nullptr && SameText(*run, RUN_NO);
+	const bool refused = this->head->status == STATUS_UNAVAILABLE && run != nullptr && EqualsIgnoreCase(*run, RUN_NO);
 	if (good) {
 		this->path.retries.OnSuccess();
 	}
-	const CallOutcome outcome = good ? CallOutcome::CO_GOOD : CallOutcome::CO_ERROR;
+	const CallOutcome outcome = good ? CallOutcome::CO_SUCCESS : CallOutcome::CO_SERVER_ERROR;
 	this->GiveBack(refused ? CallOutcome::CO_REFUSED : outcome);
 	if (this->state == ExchangeState::ES_RELAYING) {
 		this->path.counters.answered++;
@@ -377,17 +377,17 @@
 			this->key_held = false;
 		}
 		this->SettleKey(false);
-		this->GiveBack(CallOutcome::CO_BROKEN);
+		this->GiveBack(CallOutcome::CO_CONNECTION_FAILED);
 		this->Finish();
 		return;
 	}
 	if (this->state == ExchangeState::ES_RELAYING) {
 		/* Part of the answer is out: the caller must see that it is not whole. */
 		this->SettleKey(false);
-		this->GiveBack(CallOutcome::CO_BROKEN);
+		this->GiveBack(CallOutcome::CO_CONNECTION_FAILED);
 		this->path.counters.broken++;
 		if (this->sink != nullptr) {
-			this->sink->Break();
+			this->sink->Abort();
 		}
 		this->Finish();
 		return;
@@ -402,10 +402,10 @@
 		return;
 	}
 	if ((not_sent || this->facts.repeatable) && this->MayRetry()) {
-		this->Retry(CallOutcome::CO_BROKEN);
+		this->Retry(CallOutcome::CO_CONNECTION_FAILED);
 		return;
 	}
-	this->GiveBack(CallOutcome::CO_BROKEN);
+	this->GiveBack(CallOutcome::CO_CONNECTION_FAILED);
 	if (not_sent) {
 		this->NotRun(ResultCode::RC_CONNECT_FAILED, Millis(MS_PER_SECOND));
 	} else {
@@ -445,12 +445,12 @@
 	}
 	if (this->state == ExchangeState::ES_DETACHED) {
 		this->SettleKey(false);
-		this->GiveBack(CallOutcome::CO_BROKEN);
+		this->GiveBack(CallOutcome::CO_CONNECTION_FAILED);
 		this->Finish();
 	}
 }
 
-void Exchange::OnCallerGone()
+void Exchange::OnCallerDisconnected()
 {
 	this->sink = nullptr;
 	if (this->state == ExchangeState::ES_DONE || this->state == ExchangeState::ES_DETACHED) {
@@ -474,7 +474,7 @@
 		this->path.keys.Forget(*this->facts.key);
 		this->key_held = false;
 	}
-	this->GiveBack(CallOutcome::CO_CALLER);
+	this->GiveBack(CallOutcome::CO_CANCELLED);
 	this->Finish();
 }
 
@@ -530,7 +530,7 @@
 
 void Exchange::Refuse(ResultCode code, const char *run, Millis retry_after)
 {
-	AnswerHead out;
+	ResponseHead out;
 	out.status = HttpStatusOf(code);
 	out.headers.Add("Content-Type", "application/json");
 	out.headers.Add(std::string(HEADER_RUN), run);
@@ -561,7 +561,7 @@
 void Exchange::Replay(const StoredAnswer &answer)
 {
 	this->path.counters.replayed++;
-	AnswerHead out = answer.head;
+	ResponseHead out = answer.head;
 	out.headers.RemoveHopByHop();
 	out.headers.Add(std::string(HEADER_REPLAYED), "yes");
 	out.length = answer.body.size();
--- a/src/request/exchange.h
+++ b/src/request/exchange.h
@@ -28,7 +28,7 @@
 	 * @param lane Clock and timers of the request's thread.
 	 * @param path What all requests of the entry share; outlives this.
 	 * @param dialer Starts calls; outlives this.
-	 * @param sink The caller's end; used until the answer has ended, broken, or OnCallerGone().
+	 * @param sink The caller's end; used until the answer has ended, broken, or OnCallerDisconnected().
 	 * @param request The request.
 	 */
 	Exchange(Scheduler &lane, RequestPath &path, EndpointDialer &dialer, CallerSink &sink, CallerRequest request);
@@ -37,15 +37,15 @@
 	/** Begins. The sink may be used before this returns. */
 	void Start();
 
-	void OnCallerGone() override;
-	void OnCallerDrained() override;
+	void OnCallerDisconnected() override;
+	void OnCallerWritable() override;
 
 	/** @return Where the request stands. */
 	[[nodiscard]] ExchangeState State() const { return this->state; }
 
-	void OnAnswerHead(AnswerHead head) override;
-	void OnAnswerBody(std::string_view data) override;
-	void OnAnswerEnd() override;
+	void OnResponseHead(ResponseHead head) override;
+	void OnResponseBody(std::string_view data) override;
+	void OnResponseEnd() override;
 	void OnCallFailed(CallFailure failure) override;
 
 private:
@@ -67,7 +67,7 @@
 	Facts facts;                                      ///< What was found out.
 	ExchangeState state = ExchangeState::ES_RECEIVED; ///< Where it stands.
 	Route route;                                      ///< Service and gate.
-	AskId ask;                                        ///< Place at the gate.
+	SlotRequestId ask;                                ///< Place at the gate.
 	uint64_t ask_round = 0;                           ///< Counts asks: late answers of older ones give their slot back.
 	std::optional<Grant> grant;                       ///< Slot held.
 	Millis granted_at;                                ///< Since when.
@@ -77,7 +77,7 @@
 	std::unique_ptr<EndpointCall> call;               ///< Call under way.
 	bool to_peer = false;                             ///< Whether the call goes to another entry.
 	bool key_held = false;                            ///< Whether the key's memory says that this request runs.
-	std::optional<AnswerHead> head;                   ///< Head of the answer.
+	std::optional<ResponseHead> head;                 ///< Head of the answer.
 	std::string kept;                                 ///< Body so far, for the memory of keys.
 	bool keep = false;                                ///< Whether the body is kept.
 	TimerId timer;                                    ///< Deadline or end of patience.
@@ -89,7 +89,7 @@
 	Result ReadKey();
 	bool PassKey();
 	void AskForSlot();
-	void OnGate(uint64_t round, const GateAnswer &answer);
+	void OnGate(uint64_t round, const GateDecision &answer);
 	void Granted(const Grant &slot);
 	void ForwardTo(const std::string &address);
 	bool TrySpare();
--- a/src/request/headers.cpp
+++ b/src/request/headers.cpp
@@ -26,14 +26,15 @@
 
 } // namespace
 
-bool SameText(std::string_view a, std::string_view b)
+bool EqualsIgnoreCase(std::string_view a, std::string_view b)
 {
 	return std::ranges::equal(a, b, {}, Lower, Lower);
 }
 
 const std::string *HeaderList::Find(std::string_view name) const
 {
-	const auto it = std::ranges::find_if(this->fields, [&](const HeaderField &f) { return SameText(f.name, name); });
+	const auto it =
+			std::ranges::find_if(this->fields, [&](const HeaderField &f) { return EqualsIgnoreCase(f.name, name); });
 	return it == this->fields.end() ? nullptr : &it->value;
 }
 
@@ -44,14 +45,14 @@
 
 void HeaderList::Remove(std::string_view name)
 {
-	std::erase_if(this->fields, [&](const HeaderField &f) { return SameText(f.name, name); });
+	std::erase_if(this->fields, [&](const HeaderField &f) { return EqualsIgnoreCase(f.name, name); });
 }
 
 void HeaderList::RemoveHopByHop()
 {
 	std::vector<std::string> named;
 	for (const HeaderField &field : this->fields) {
-		if (!SameText(field.name, "Connection")) {
+		if (!EqualsIgnoreCase(field.name, "Connection")) {
 			continue;
 		}
 		std::istringstream in(field.value);
--- a/src/request/key_memory.h
+++ b/src/request/key_memory.h
@@ -19,8 +19,8 @@
 
 /** A whole small answer, kept for a retry with the same key. */
 struct StoredAnswer {
-	AnswerHead head;  ///< Its head.
-	std::string body; ///< Its body.
+	ResponseHead head; ///< Its head.
+	std::string body;  ///< Its body.
 };
 
 /** Limits of the memory. */
--- a/src/request/pool_gate.cpp
+++ b/src/request/pool_gate.cpp
@@ -236,7 +236,7 @@
 	return best;
 }
 
-GateAnswer PoolGate::Take(ServiceState &service, EndpointState &endpoint, Millis now)
+GateDecision PoolGate::Take(ServiceState &service, EndpointState &endpoint, Millis now)
 {
 	endpoint.in_flight++;
 	endpoint.peak = std::max(endpoint.peak, endpoint.in_flight);
@@ -246,14 +246,14 @@
 		service.peak_since = now;
 	}
 	this->counters.granted++;
-	GateAnswer answer;
+	GateDecision answer;
 	answer.grant = Grant{endpoint.view.box, endpoint.view.address, endpoint.view.epoch};
 	return answer;
 }
 
-GateAnswer PoolGate::Refuse(ResultCode code, const ServiceState *service, Millis now)
+GateDecision PoolGate::Refuse(ResultCode code, const ServiceState *service, Millis now)
 {
-	GateAnswer answer;
+	GateDecision answer;
 	answer.code = code;
 	answer.retry_after = LEAST_RETRY_AFTER;
 	if (code == ResultCode::RC_QUEUE_FULL) {
@@ -270,7 +270,7 @@
 	return answer;
 }
 
-std::optional<GateAnswer> PoolGate::Ask(SlotAsk ask, Millis now, AskId &id)
+std::optional<GateDecision> PoolGate::Ask(SlotRequest ask, Millis now, SlotRequestId &id)
 {
 	const std::scoped_lock guard(this->lock);
 	const auto found = this->services.find(ask.service);
@@ -295,7 +295,7 @@
 	if (this->settings.admit_by_deadline && now + wait + this->TypicalOf(service) > ask.deadline) {
 		return this->Refuse(ResultCode::RC_CANNOT_BE_ON_TIME, &service, now);
 	}
-	id = AskId(++this->last_id);
+	id = SlotRequestId(++this->last_id);
 	this->where[id] = {ask.service, ask.work_class};
 	auto &queue = service.waiting[ask.work_class];
 	auto place = queue.end();
@@ -308,7 +308,7 @@
 	return std::nullopt;
 }
 
-bool PoolGate::Withdraw(AskId id)
+bool PoolGate::Withdraw(SlotRequestId id)
 {
 	const std::scoped_lock guard(this->lock);
 	const auto it = this->where.find(id);
@@ -381,15 +381,15 @@
 		const std::scoped_lock guard(this->lock);
 		ServiceState &owner = this->services[service];
 		owner.in_flight -= owner.in_flight > 0 ? 1 : 0;
-		if (outcome == CallOutcome::CO_GOOD) {
+		if (outcome == CallOutcome::CO_SUCCESS) {
 			owner.typical_us = Smooth(owner.typical_us, held.Value() * US_PER_MS);
 		}
 		if (const auto found = this->endpoints.find(box); found != this->endpoints.end()) {
 			EndpointState &it = found->second;
 			it.in_flight -= it.in_flight > 0 ? 1 : 0;
 			/* An endpoint that fails fast must not look fast. */
-			if (outcome == CallOutcome::CO_GOOD ||
-				(outcome == CallOutcome::CO_ERROR && held.Value() * US_PER_MS > it.typical_us)) {
+			if (outcome == CallOutcome::CO_SUCCESS ||
+				(outcome == CallOutcome::CO_SERVER_ERROR && held.Value() * US_PER_MS > it.typical_us)) {
 				it.typical_us = Smooth(it.typical_us, held.Value() * US_PER_MS);
 			}
 			this->Judge(it, outcome, now);
@@ -404,8 +404,8 @@
 
 void PoolGate::Judge(EndpointState &it, CallOutcome outcome, Millis now)
 {
-	const bool bad = outcome == CallOutcome::CO_ERROR || outcome == CallOutcome::CO_BROKEN;
-	if (outcome == CallOutcome::CO_CALLER) {
+	const bool bad = outcome == CallOutcome::CO_SERVER_ERROR || outcome == CallOutcome::CO_CONNECTION_FAILED;
+	if (outcome == CallOutcome::CO_CANCELLED) {
 		return;
 	}
 	if (outcome == CallOutcome::CO_REFUSED) {
@@ -420,7 +420,7 @@
 		it.ejections = 0;
 		return;
 	}
-	if (outcome == CallOutcome::CO_BROKEN) {
+	if (outcome == CallOutcome::CO_CONNECTION_FAILED) {
 		it.failures++;
 	} else if (it.error_score >= SCORE_BAD) {
 		/* Errors may be the callers' own doing: they count only while most others of the pool do without. */
@@ -483,14 +483,14 @@
 	return drained;
 }
 
-std::vector<EndpointView> PoolGate::Endpoints(Millis now) const
+std::vector<EndpointStatus> PoolGate::Endpoints(Millis now) const
 {
 	const std::scoped_lock guard(this->lock);
-	std::vector<EndpointView> views;
+	std::vector<EndpointStatus> views;
 	views.reserve(this->endpoints.size());
 	for (const auto &[box, it] : this->endpoints) {
-		views.push_back(EndpointView{it.view, it.in_flight, it.lent, it.borrowed, Millis(it.typical_us / US_PER_MS),
-									 it.ejected_until > now});
+		views.push_back(EndpointStatus{it.view, it.in_flight, it.lent, it.borrowed, Millis(it.typical_us / US_PER_MS),
+									   it.ejected_until > now});
 	}
 	return views;
 }
--- a/src/request/pool_gate.h
+++ b/src/request/pool_gate.h
@@ -34,31 +34,31 @@
 };
 
 /** What the gate says to a request. */
-struct GateAnswer {
+struct GateDecision {
 	ResultCode code = ResultCode::RC_OK; ///< RC_OK with a grant, or why there is none: not run.
 	Grant grant;                         ///< With RC_OK.
 	Millis retry_after;                  ///< When to come back, with a refusal.
 };
 
 /** A request that wants a slot. */
-struct SlotAsk {
+struct SlotRequest {
 	ServiceName service;                         ///< Its service.
 	WorkClass work_class = WorkClass::WC_NORMAL; ///< Its class.
 	Millis deadline;                             ///< When its answer must be there, by the lane's clock.
-	std::set<BoxName> avoid;              ///< Endpoints to take only if there is no other: they failed it before.
-	bool only_spare = false;              ///< Take a slot only if nobody waits: a guest from another zone.
-	std::function<void(GateAnswer)> done; ///< Gets a later answer; called on any thread, without locks held.
+	std::set<BoxName> avoid;                ///< Endpoints to take only if there is no other: they failed it before.
+	bool only_spare = false;                ///< Take a slot only if nobody waits: a guest from another zone.
+	std::function<void(GateDecision)> done; ///< Gets a later answer; called on any thread, without locks held.
 };
 
-using AskId = Strong<struct AskIdTag, uint64_t>; ///< A request waiting at a gate; 0 is "none".
+using SlotRequestId = Strong<struct AskIdTag, uint64_t>; ///< A request waiting at a gate; 0 is "none".
 
 /** How a request on an endpoint ended, for passive health. */
 enum class CallOutcome : uint8_t {
-	CO_GOOD = 0,    ///< A whole answer that is no server error.
-	CO_ERROR = 1,   ///< An answer with a server error.
-	CO_BROKEN = 2,  ///< No connection, or broke off.
-	CO_REFUSED = 3, ///< The endpoint says that it has no room: not its fault.
-	CO_CALLER = 4,  ///< Ended by the caller: says nothing.
+	CO_SUCCESS = 0,           ///< A whole answer that is no server error.
+	CO_SERVER_ERROR = 1,      ///< An answer with a server error.
+	CO_CONNECTION_FAILED = 2, ///< No connection, or broke off.
+	CO_REFUSED = 3,           ///< The endpoint says that it has no room: not its fault.
+	CO_CANCELLED = 4,         ///< Ended by the caller: says nothing.
 };
 
 /** How a gate is set. */
@@ -86,7 +86,7 @@
 };
 
 /** State of an endpoint, for dumps. */
-struct EndpointView {
+struct EndpointStatus {
 	GateEndpoint endpoint;  ///< What the view says.
 	uint32_t in_flight = 0; ///< Requests on it from this entry.
 	uint32_t lent = 0;      ///< Slots of the share lent to others.
@@ -124,14 +124,14 @@
 	 * @param[out] id For Withdraw(), when no answer is returned.
 	 * @return An answer at once, or nothing: `ask.done` will get it.
 	 */
-	std::optional<GateAnswer> Ask(SlotAsk ask, Millis now, AskId &id);
+	std::optional<GateDecision> Ask(SlotRequest ask, Millis now, SlotRequestId &id);
 
 	/**
 	 * Takes a waiting request out.
 	 * @param id The request.
 	 * @return Whether it still waited; if not, its answer was given or is on its way.
 	 */
-	bool Withdraw(AskId id);
+	bool Withdraw(SlotRequestId id);
 
 	/**
 	 * Gives a slot back.
@@ -201,7 +201,7 @@
 	[[nodiscard]] std::vector<GateEndpoint> Drained() const;
 
 	/** @return Endpoints, for dumps. */
-	[[nodiscard]] std::vector<EndpointView> Endpoints(Millis now) const;
+	[[nodiscard]] std::vector<EndpointStatus> Endpoints(Millis now) const;
 
 	/** @return Counters. */
 	[[nodiscard]] GateCounters Counters() const;
@@ -239,8 +239,8 @@
 
 	/** A waiting request. */
 	struct Waiter {
-		AskId id;    ///< For Withdraw().
-		SlotAsk ask; ///< The request.
+		SlotRequestId id; ///< For Withdraw().
+		SlotRequest ask;  ///< The request.
 	};
 
 	/** A service's queue and use. */
@@ -256,19 +256,19 @@
 		size_t waiting_count = 0;                       ///< Waiters of all classes.
 	};
 
-	using Answers = std::vector<std::pair<std::function<void(GateAnswer)>, GateAnswer>>;
+	using Answers = std::vector<std::pair<std::function<void(GateDecision)>, GateDecision>>;
 
-	mutable std::mutex lock;                                  ///< Guards all that follows.
-	GateSettings settings;                                    ///< Limits.
-	boost::random::mt19937_64 random;                         ///< Random choices.
-	std::map<BoxName, EndpointState> endpoints;               ///< Endpoints.
-	std::map<ServiceName, ServiceState> services;             ///< Services.
-	std::map<AskId, std::pair<ServiceName, WorkClass>> where; ///< Where a waiter stands.
-	uint64_t last_id = 0;                                     ///< Last waiter.
-	std::map<MemberName, std::map<BoxName, Debt>> debts;      ///< Borrowed slots by lender.
-	uint64_t round_robin = 0;                                 ///< Next choice of the baseline.
-	Millis gained_from;                                       ///< When shares that grew begin to count.
-	GateCounters counters;                                    ///< Counters.
+	mutable std::mutex lock;                                          ///< Guards all that follows.
+	GateSettings settings;                                            ///< Limits.
+	boost::random::mt19937_64 random;                                 ///< Random choices.
+	std::map<BoxName, EndpointState> endpoints;                       ///< Endpoints.
+	std::map<ServiceName, ServiceState> services;                     ///< Services.
+	std::map<SlotRequestId, std::pair<ServiceName, WorkClass>> where; ///< Where a waiter stands.
+	uint64_t last_id = 0;                                             ///< Last waiter.
+	std::map<MemberName, std::map<BoxName, Debt>> debts;              ///< Borrowed slots by lender.
+	uint64_t round_robin = 0;                                         ///< Next choice of the baseline.
+	Millis gained_from;                                               ///< When shares that grew begin to count.
+	GateCounters counters;                                            ///< Counters.
 
 	[[nodiscard]] static bool Forgettable(const EndpointState &it);
 	void TurnWindow(EndpointState &it, Millis now) const;
@@ -282,14 +282,14 @@
 	[[nodiscard]] uint32_t ReservedFor(const ServiceState &asking) const;
 	[[nodiscard]] bool MayTake(const ServiceState &service, uint32_t free) const;
 	ServiceState *NextService(uint32_t free);
-	GateAnswer Take(ServiceState &service, EndpointState &endpoint, Millis now);
+	GateDecision Take(ServiceState &service, EndpointState &endpoint, Millis now);
 	[[nodiscard]] Millis TypicalOf(const ServiceState &service) const;
 	[[nodiscard]] Millis WaitFor(const ServiceState &service, WorkClass work_class, Millis deadline, Millis now) const;
 	void DropLate(ServiceState &service, Millis now, Answers &answers);
 	void Serve(Millis now, Answers &answers);
 	void Judge(EndpointState &it, CallOutcome outcome, Millis now);
 	void Eject(EndpointState &it, Millis now);
-	GateAnswer Refuse(ResultCode code, const ServiceState *service, Millis now);
+	GateDecision Refuse(ResultCode code, const ServiceState *service, Millis now);
 	static void Send(Answers &answers);
 };
 
--- a/src/request/request_path.cpp
+++ b/src/request/request_path.cpp
@@ -34,7 +34,7 @@
 }
 
 RequestPath::RequestPath(EntryIdentity self, GateSettings gates, LeaseTimes times, KeyLimits keys,
-						 PathSettings settings, const Credentials &credentials)
+						 RequestSettings settings, const CredentialStore &credentials)
 		: self(self), settings(settings), routes(std::move(self), gates, times), keys(keys), credentials(credentials)
 {
 }
--- a/src/request/request_path.h
+++ b/src/request/request_path.h
@@ -25,9 +25,9 @@
 };
 
 /** Finds the member firm behind a token. */
-class Credentials {
+class CredentialStore {
 public:
-	virtual ~Credentials() = default;
+	virtual ~CredentialStore() = default;
 
 	/**
 	 * @param authorization Value of the Authorization field, or null.
@@ -37,18 +37,18 @@
 };
 
 /** How requests are handled. */
-struct PathSettings {
+struct RequestSettings {
 	Millis deadline_urgent = Millis(1000);  ///< Deadline of urgent requests that name none.
 	Millis deadline_normal = Millis(10000); ///< The same of normal ones.
 	Millis deadline_batch = Millis(60000);  ///< The same of batch ones.
 	Millis deadline_max = Millis(600000);   ///< Longest deadline that a caller may name.
 	Millis detach_patience = Millis(30000); ///< How long an endpoint may work on after its caller left.
 	uint32_t tries = 3;                     ///< Most endpoints that one request is offered to.
-	bool spill = true;                      ///< Ask other zones when the own has nothing.
+	bool spillover = true;                  ///< Ask other zones when the own has nothing.
 };
 
 /** Counters of the request path. */
-struct PathCounters {
+struct RequestCounters {
 	std::atomic<uint64_t> received{0};  ///< Requests.
 	std::atomic<uint64_t> answered{0};  ///< Whole answers passed on.
 	std::atomic<uint64_t> refused{0};   ///< Refused as not run.
@@ -101,17 +101,17 @@
 	 * @param settings How requests are handled.
 	 * @param credentials Who may call; outlives this.
 	 */
-	RequestPath(EntryIdentity self, GateSettings gates, LeaseTimes times, KeyLimits keys, PathSettings settings,
-				const Credentials &credentials);
-
-	EntryIdentity self;                ///< Who this entry is.
-	PathSettings settings;             ///< How requests are handled.
-	RouteTable routes;                 ///< The fleet as this entry knows it.
-	KeyMemory keys;                    ///< Memory of keys.
-	RetryBudget retries;               ///< What may be spent on retries.
-	const Credentials &credentials;    ///< Who may call.
-	PathCounters counters;             ///< Counters.
-	std::atomic<bool> stopping{false}; ///< A planned stop is under way: nothing new.
+	RequestPath(EntryIdentity self, GateSettings gates, LeaseTimes times, KeyLimits keys, RequestSettings settings,
+				const CredentialStore &credentials);
+
+	EntryIdentity self;                 ///< Who this entry is.
+	RequestSettings settings;           ///< How requests are handled.
+	RouteTable routes;                  ///< The fleet as this entry knows it.
+	KeyMemory keys;                     ///< Memory of keys.
+	RetryBudget retries;                ///< What may be spent on retries.
+	const CredentialStore &credentials; ///< Who may call.
+	RequestCounters counters;           ///< Counters.
+	std::atomic<bool> stopping{false};  ///< A planned stop is under way: nothing new.
 
 	/**
 	 * Counts the time of an answered request.
--- a/src/request/request_type.h
+++ b/src/request/request_type.h
@@ -55,7 +55,7 @@
 };
 
 /** Head of an answer. */
-struct AnswerHead {
+struct ResponseHead {
 	int status = 200;               ///< HTTP status.
 	std::string reason;             ///< Reason phrase, may be empty.
 	HeaderList headers;             ///< Fields without framing.
@@ -72,7 +72,7 @@
 	 * Begins the answer. Called once a request, unless it is broken before.
 	 * @param head The head.
 	 */
-	virtual void Begin(const AnswerHead &head) = 0;
+	virtual void Begin(const ResponseHead &head) = 0;
 
 	/**
 	 * Sends a part of the body.
@@ -84,9 +84,9 @@
 	virtual void End() = 0;
 
 	/** Breaks the connection so that the caller can tell that the answer is not whole. */
-	virtual void Break() = 0;
+	virtual void Abort() = 0;
 
-	/** @return Whether too much is waiting to be taken by the caller; Exchange::OnCallerDrained() tells when not. */
+	/** @return Whether too much is waiting to be taken by the caller; Exchange::OnCallerWritable() tells when not. */
 	[[nodiscard]] virtual bool Congested() const = 0;
 };
 
@@ -96,10 +96,10 @@
 	virtual ~ServedRequest() = default;
 
 	/** The caller has closed its end: its sink must not be used any more. */
-	virtual void OnCallerGone() = 0;
+	virtual void OnCallerDisconnected() = 0;
 
 	/** The caller has taken what was waiting for it. */
-	virtual void OnCallerDrained() = 0;
+	virtual void OnCallerWritable() = 0;
 };
 
 /** Serves requests of a connection. Shared by all connections of a lane. */
@@ -122,8 +122,8 @@
 /** How a call to an endpoint failed. */
 enum class CallFailure : uint8_t {
 	CF_NOT_CONNECTED = 0, ///< No byte was offered to a socket: the request did not run.
-	CF_NO_ANSWER = 1,     ///< Sent, but broke off before a whole head of an answer: unknown.
-	CF_CUT = 2,           ///< Broke off within the answer.
+	CF_NO_RESPONSE = 1,   ///< Sent, but broke off before a whole head of an answer: unknown.
+	CF_TRUNCATED = 2,     ///< Broke off within the answer.
 	CF_MALFORMED = 3,     ///< The answer is not valid HTTP.
 };
 
@@ -131,10 +131,10 @@
 class CallEvents {
 public:
 	virtual ~CallEvents() = default;
-	virtual void OnAnswerHead(AnswerHead head) = 0;       ///< Head of the answer.
-	virtual void OnAnswerBody(std::string_view data) = 0; ///< A part of its body.
-	virtual void OnAnswerEnd() = 0;                       ///< The answer is whole.
-	virtual void OnCallFailed(CallFailure failure) = 0;   ///< No more will come.
+	virtual void OnResponseHead(ResponseHead head) = 0;     ///< Head of the answer.
+	virtual void OnResponseBody(std::string_view data) = 0; ///< A part of its body.
+	virtual void OnResponseEnd() = 0;                       ///< The answer is whole.
+	virtual void OnCallFailed(CallFailure failure) = 0;     ///< No more will come.
 };
 
 /** A call to an endpoint under way. Destroying it cuts the connection, unless the answer is whole. */
@@ -174,7 +174,7 @@
  * @param b Another.
  * @return Whether they are equal but for case.
  */
-bool SameText(std::string_view a, std::string_view b);
+bool EqualsIgnoreCase(std::string_view a, std::string_view b);
 
 inline constexpr std::string_view HEADER_RUN = "Glade-Run";               ///< "no" or "unknown" on refusals.
 inline constexpr std::string_view HEADER_CODE = "Glade-Code";             ///< Number of the result code on refusals.
--- a/src/request/route_table.cpp
+++ b/src/request/route_table.cpp
@@ -231,7 +231,7 @@
 	this->lease_until = std::max(this->lease_until, until);
 }
 
-void RouteTable::NoteOffset(LogOffset seen)
+void RouteTable::AdvanceOffset(LogOffset seen)
 {
 	const std::unique_lock guard(this->lock);
 	this->offset = std::max(this->offset, seen);
--- a/src/request/route_table.h
+++ b/src/request/route_table.h
@@ -68,7 +68,7 @@
 	 * The view in force shows the fleet up to a later offset too: nothing in it has changed since.
 	 * @param seen The offset.
 	 */
-	void NoteOffset(LogOffset seen);
+	void AdvanceOffset(LogOffset seen);
 
 	/** @return Whether the lease holds. */
 	[[nodiscard]] bool LeaseHolds(Millis now) const;
--- a/src/request/slot_broker.cpp
+++ b/src/request/slot_broker.cpp
@@ -54,7 +54,7 @@
 
 } // namespace
 
-SlotBroker::SlotBroker(Scheduler &scheduler, RouteTable &routes, MemberName self, SlotMail &mail, Millis patience)
+SlotBroker::SlotBroker(Scheduler &scheduler, RouteTable &routes, MemberName self, SlotTransport &mail, Millis patience)
 		: scheduler(scheduler), routes(routes), self(std::move(self)), mail(mail), patience(patience)
 {
 }
--- a/src/request/slot_broker.h
+++ b/src/request/slot_broker.h
@@ -9,9 +9,9 @@
 #include <set>
 
 /** How a broker reaches the other entries of its zone. */
-class SlotMail {
+class SlotTransport {
 public:
-	virtual ~SlotMail() = default;
+	virtual ~SlotTransport() = default;
 
 	/**
 	 * Sends a message; it may be lost with the connection.
@@ -45,7 +45,7 @@
 	 * @param mail Sends messages.
 	 * @param patience How long an endpoint may work on for an entry that has vanished.
 	 */
-	SlotBroker(Scheduler &scheduler, RouteTable &routes, MemberName self, SlotMail &mail, Millis patience);
+	SlotBroker(Scheduler &scheduler, RouteTable &routes, MemberName self, SlotTransport &mail, Millis patience);
 
 	/** Asks for slots, and gives back what is idle. Called some twenty times a second. */
 	void Tick();
@@ -70,7 +70,7 @@
 	Scheduler &scheduler;             ///< Clock and timers.
 	RouteTable &routes;               ///< Gates and peers.
 	MemberName self;                  ///< This entry.
-	SlotMail &mail;                   ///< Sends messages.
+	SlotTransport &mail;              ///< Sends messages.
 	Millis patience;                  ///< For entries that have vanished.
 	std::map<MemberName, Loan> loans; ///< What others hold of ours.
 	/** How a pool's slots are asked for. */
--- a/src/standin/endpoint/endpoint_standin.cpp
+++ b/src/standin/endpoint/endpoint_standin.cpp
@@ -16,7 +16,7 @@
 /** Sends a small whole answer. */
 void Answer(CallerSink &sink, int status, const std::string &body, const char *run = nullptr)
 {
-	AnswerHead head;
+	ResponseHead head;
 	head.status = status;
 	head.headers.Add("Content-Type", "application/json");
 	if (run != nullptr) {
@@ -66,8 +66,8 @@
 		this->endpoint.scheduler.After(work, [self = this->shared_from_this()] { self->Finish(); });
 	}
 
-	void OnCallerGone() override { this->sink = nullptr; }
-	void OnCallerDrained() override {}
+	void OnCallerDisconnected() override { this->sink = nullptr; }
+	void OnCallerWritable() override {}
 
 private:
 	EndpointStandin &endpoint; ///< Whose run it is.
@@ -90,13 +90,13 @@
 			return;
 		}
 		if (this->fault == EndpointFault::EF_CLOSE) {
-			this->sink->Break();
+			this->sink->Abort();
 		} else if (this->fault == EndpointFault::EF_ERROR) {
 			Answer(*this->sink, 500, "{\"error\":\"told to fail\"}\n");
 		} else if (this->fault == EndpointFault::EF_HALF || this->fault == EndpointFault::EF_STALL) {
 			this->AnswerHalf();
 		} else if (this->parts_left > 0) {
-			this->sink->Begin(AnswerHead());
+			this->sink->Begin(ResponseHead());
 			this->SendPart();
 		} else {
 			Answer(*this->sink, 200, this->Body());
@@ -106,12 +106,12 @@
 	void AnswerHalf()
 	{
 		const std::string body = this->Body();
-		AnswerHead head;
+		ResponseHead head;
 		head.length = body.size();
 		this->sink->Begin(head);
 		this->sink->Body(body.substr(0, body.size() / 2));
 		if (this->fault == EndpointFault::EF_HALF) {
-			this->sink->Break();
+			this->sink->Abort();
 		}
 	}
 
--- a/src/standin/memory/fleet_site.cpp
+++ b/src/standin/memory/fleet_site.cpp
@@ -268,7 +268,7 @@
 		this->lane.Post([this] { this->Hello(); });
 	} else if (const auto *grant = message.AsLeaseGrant(); grant != nullptr) {
 		this->routes.ExtendLease(this->sent_at[grant->hello_number] + Millis(grant->lease_ms));
-		this->routes.NoteOffset(LogOffset(grant->offset));
+		this->routes.AdvanceOffset(LogOffset(grant->offset));
 	}
 }
 
--- a/src/standin/memory/request_world.cpp
+++ b/src/standin/memory/request_world.cpp
@@ -61,7 +61,7 @@
 		}
 		if (deed == EndpointDeed::ED_ACCEPT_CLOSE) {
 			world.Note(this->endpoint.box + " closes without reading");
-			this->Fail(CallFailure::CF_NO_ANSWER);
+			this->Fail(CallFailure::CF_NO_RESPONSE);
 			return;
 		}
 		if (deed == EndpointDeed::ED_NOT_RUN || this->endpoint.running >= this->endpoint.slots) {
@@ -82,7 +82,7 @@
 		this->endpoint.running--;
 		if (deed == EndpointDeed::ED_READ_CLOSE) {
 			this->entry.world.Note(this->endpoint.box + " closes without answering");
-			this->Fail(CallFailure::CF_NO_ANSWER);
+			this->Fail(CallFailure::CF_NO_RESPONSE);
 		} else if (deed == EndpointDeed::ED_HALF_CLOSE || deed == EndpointDeed::ED_HALF_STALL) {
 			this->Half(deed);
 		} else {
@@ -90,9 +90,9 @@
 		}
 	}
 
-	AnswerHead HeadOf(int status, const char *run) const
+	ResponseHead HeadOf(int status, const char *run) const
 	{
-		AnswerHead head;
+		ResponseHead head;
 		head.status = status;
 		head.length = this->request.body.size();
 		if (run != nullptr) {
@@ -106,13 +106,13 @@
 		if (!this->Heard()) {
 			return;
 		}
-		this->events->OnAnswerHead(this->HeadOf(200, nullptr));
+		this->events->OnResponseHead(this->HeadOf(200, nullptr));
 		if (this->Heard()) {
-			this->events->OnAnswerBody(this->request.body.substr(0, this->request.body.size() / 2));
+			this->events->OnResponseBody(this->request.body.substr(0, this->request.body.size() / 2));
 		}
 		this->entry.world.Note(this->endpoint.box + " answers half");
 		if (deed == EndpointDeed::ED_HALF_CLOSE) {
-			this->Fail(CallFailure::CF_CUT);
+			this->Fail(CallFailure::CF_TRUNCATED);
 		}
 	}
 
@@ -122,14 +122,14 @@
 		if (!this->Heard()) {
 			return;
 		}
-		AnswerHead head = this->HeadOf(status, run);
+		ResponseHead head = this->HeadOf(status, run);
 		head.length = body.size();
-		this->events->OnAnswerHead(std::move(head));
+		this->events->OnResponseHead(std::move(head));
 		if (this->Heard()) {
-			this->events->OnAnswerBody(body);
+			this->events->OnResponseBody(body);
 		}
 		if (this->Heard()) {
-			std::exchange(this->events, nullptr)->OnAnswerEnd();
+			std::exchange(this->events, nullptr)->OnResponseEnd();
 		}
 	}
 };
@@ -198,7 +198,7 @@
 		{
 			if (!*this->to->lane.alive) {
 				if (this->Heard()) {
-					std::exchange(this->events, nullptr)->OnCallFailed(CallFailure::CF_NO_ANSWER);
+					std::exchange(this->events, nullptr)->OnCallFailed(CallFailure::CF_NO_RESPONSE);
 				}
 				return;
 			}
@@ -207,28 +207,28 @@
 			}
 		}
 
-		void Begin(const AnswerHead &head) override
+		void Begin(const ResponseHead &head) override
 		{
 			if (this->Heard()) {
-				this->events->OnAnswerHead(head);
+				this->events->OnResponseHead(head);
 			}
 		}
 		void Body(std::string_view data) override
 		{
 			if (this->Heard()) {
-				this->events->OnAnswerBody(data);
+				this->events->OnResponseBody(data);
 			}
 		}
 		void End() override
 		{
 			if (this->Heard()) {
-				std::exchange(this->events, nullptr)->OnAnswerEnd();
+				std::exchange(this->events, nullptr)->OnResponseEnd();
 			}
 		}
-		void Break() override
+		void Abort() override
 		{
 			if (this->Heard()) {
-				std::exchange(this->events, nullptr)->OnCallFailed(CallFailure::CF_CUT);
+				std::exchange(this->events, nullptr)->OnCallFailed(CallFailure::CF_TRUNCATED);
 			}
 		}
 		[[nodiscard]] bool Congested() const override { return false; }
@@ -271,7 +271,7 @@
 	return _names[static_cast<size_t>(deed)];
 }
 
-void CallerProbe::Begin(const AnswerHead &it)
+void CallerProbe::Begin(const ResponseHead &it)
 {
 	this->head = it;
 	this->begun = true;
@@ -290,7 +290,7 @@
 					  (run == nullptr ? "" : " run=" + *run + " code=" + std::to_string(this->Code())));
 }
 
-void CallerProbe::Break()
+void CallerProbe::Abort()
 {
 	this->broken = true;
 	this->world->Note(this->name + " sees the connection break");
@@ -321,7 +321,7 @@
 EntryNode::EntryNode(RequestWorld &world, const std::string &name, const std::string &zone, uint64_t incarnation)
 		: name(name), address(name + ":" + std::to_string(incarnation)), lane(world.clock),
 		  path(EntryIdentity{MemberName(name), ZoneName(zone), Incarnation(incarnation)}, GateSettings{}, LeaseTimes{},
-			   KeyLimits{}, PathSettings{}, this->credentials),
+			   KeyLimits{}, RequestSettings{}, this->credentials),
 		  dialer(std::make_unique<FakeDialer>(*this)), world(world)
 {
 }
@@ -361,7 +361,7 @@
 {
 	for (const auto &it : this->probes) {
 		if (it->exchange && *it->entry->lane.alive && !it->gone && !it->ended && !it->broken) {
-			it->exchange->OnCallerGone();
+			it->exchange->OnCallerDisconnected();
 		}
 	}
 	this->Run(Millis(120000));
@@ -419,7 +419,7 @@
 	probe.entry = &entry;
 	this->Note(name + " sends " + method + (key.empty() ? "" : " with key") + " to " + entry.name);
 	if (!*entry.lane.alive) {
-		probe.Break();
+		probe.Abort();
 		return probe;
 	}
 	probe.exchange = std::make_shared<Exchange>(entry.lane, entry.path, *entry.dialer, probe, request);
@@ -433,7 +433,7 @@
 	*entry.lane.alive = false;
 	for (const auto &it : this->probes) {
 		if (it->entry == &entry && !it->ended && !it->gone && !it->broken) {
-			it->Break();
+			it->Abort();
 		}
 	}
 }
--- a/src/standin/memory/request_world.h
+++ b/src/standin/memory/request_world.h
@@ -48,7 +48,7 @@
 /** What a caller saw. */
 struct CallerProbe : public CallerSink {
 	std::string name;                   ///< Submission.
-	AnswerHead head;                    ///< Head received.
+	ResponseHead head;                  ///< Head received.
 	std::string body;                   ///< Body received.
 	bool begun = false;                 ///< Whether a head came.
 	bool ended = false;                 ///< Whether the answer is whole.
@@ -59,10 +59,10 @@
 	EntryNode *entry = nullptr;         ///< Where it was sent.
 	std::shared_ptr<Exchange> exchange; ///< The request.
 
-	void Begin(const AnswerHead &it) override;
+	void Begin(const ResponseHead &it) override;
 	void Body(std::string_view data) override;
 	void End() override;
-	void Break() override;
+	void Abort() override;
 	[[nodiscard]] bool Congested() const override { return this->congested; }
 
 	/** @return Whether the answer says that the request was not run. */
@@ -73,7 +73,7 @@
 };
 
 /** Everybody may call; the token is the member firm's name. */
-class OpenCredentials : public Credentials {
+class OpenCredentials : public CredentialStore {
 public:
 	[[nodiscard]] const Credential *Find(const std::string *authorization) const override;
 
--- a/src/standin/memory/simple_view.h
+++ b/src/standin/memory/simple_view.h
@@ -24,7 +24,7 @@
 glade::wire::ViewT SimpleView(const SimpleViewSpec &spec);
 
 /** Everybody may call, as one tenant. */
-class AnyCaller : public Credentials {
+class AnyCaller : public CredentialStore {
 public:
 	AnyCaller() { this->one.account = AccountName("t"); }
 	[[nodiscard]] const Credential *Find(const std::string *) const override { return &this->one; }
--- a/src/standin/platform/platform_standin.cpp
+++ b/src/standin/platform/platform_standin.cpp
@@ -19,7 +19,7 @@
 
 void Answer(CallerSink &sink, int status, const std::string &body)
 {
-	AnswerHead head;
+	ResponseHead head;
 	head.status = status;
 	head.headers.Add("Content-Type", "application/json");
 	head.length = body.size();
@@ -69,8 +69,8 @@
 		});
 	}
 
-	void OnCallerGone() override { this->sink = nullptr; }
-	void OnCallerDrained() override {}
+	void OnCallerDisconnected() override { this->sink = nullptr; }
+	void OnCallerWritable() override {}
 
 	/** Answers with what is there. */
 	void Finish()
@@ -223,7 +223,7 @@
 	}
 	if (this->faults.lose_answers > 0) {
 		this->faults.lose_answers--;
-		sink.Break();
+		sink.Abort();
 	} else {
 		QJsonObject json;
 		json["offset"] = QString::number(answer.offset.Value());
@@ -261,7 +261,7 @@
 	const std::string body = QJsonDocument(this->ListBoxes()).toJson(QJsonDocument::Compact).toStdString();
 	const std::string etag = '"' + std::to_string(HashText(body)) + '"';
 	const std::string *known = request.headers.Find("If-None-Match");
-	AnswerHead head;
+	ResponseHead head;
 	head.headers.Add("ETag", etag);
 	if (known != nullptr && *known == etag) {
 		head.status = STATUS_NOT_MODIFIED;
--- a/tests/owner/agent_site.cpp
+++ b/tests/owner/agent_site.cpp
@@ -17,7 +17,7 @@
 
 void Answer(CallerSink &sink, int status, const std::string &body)
 {
-	AnswerHead head;
+	ResponseHead head;
 	head.status = status;
 	head.length = body.size();
 	head.headers.Add("Content-Type", "application/json");
@@ -32,8 +32,8 @@
 public:
 	explicit Poll(CallerSink &sink) : sink(&sink) {}
 
-	void OnCallerGone() override { this->sink = nullptr; }
-	void OnCallerDrained() override {}
+	void OnCallerDisconnected() override { this->sink = nullptr; }
+	void OnCallerWritable() override {}
 
 	/** Answers, unless that was done or the owner has left. @param body The body. */
 	void Finish(const std::string &body)
--- a/tests/soak/soak_http.cpp
+++ b/tests/soak/soak_http.cpp
@@ -9,7 +9,7 @@
 void LateAnswer::Answer(int status, const std::string &body)
 {
 	if (CallerSink *to = std::exchange(this->sink, nullptr); to != nullptr) {
-		AnswerHead head;
+		ResponseHead head;
 		head.status = status;
 		head.length = body.size();
 		to->Begin(head);
@@ -26,7 +26,7 @@
 void LateAnswer::Cut()
 {
 	if (CallerSink *to = std::exchange(this->sink, nullptr); to != nullptr) {
-		to->Break();
+		to->Abort();
 	}
 }
 
--- a/tests/soak/soak_http.h
+++ b/tests/soak/soak_http.h
@@ -12,8 +12,8 @@
 public:
 	explicit LateAnswer(CallerSink &sink) : sink(&sink) {}
 
-	void OnCallerGone() override { this->sink = nullptr; }
-	void OnCallerDrained() override {}
+	void OnCallerDisconnected() override { this->sink = nullptr; }
+	void OnCallerWritable() override {}
 
 	/** Answers. @param status HTTP status. @param body The body. */
 	void Answer(int status, const std::string &body);
--- a/tests/status_sink.h
+++ b/tests/status_sink.h
@@ -7,10 +7,10 @@
 /** A caller's end that keeps the status. */
 class StatusSink : public CallerSink {
 public:
-	void Begin(const AnswerHead &head) override { this->status = head.status; }
+	void Begin(const ResponseHead &head) override { this->status = head.status; }
 	void Body(std::string_view) override {}
 	void End() override {}
-	void Break() override {}
+	void Abort() override {}
 	[[nodiscard]] bool Congested() const override { return false; }
 	int status = 0; ///< Status of the answer; 0 before.
 };
--- a/tests/test_accounts.cpp
+++ b/tests/test_accounts.cpp
@@ -93,7 +93,7 @@
 		const auto served = this->front.Serve(sink, request);
 		this->world.clock.RunUntil(this->world.clock.Now() + Millis(500));
 		if (served) {
-			served->OnCallerGone();
+			served->OnCallerDisconnected();
 		}
 		return sink.status;
 	}
--- a/tests/test_http_codec.cpp
+++ b/tests/test_http_codec.cpp
@@ -7,11 +7,11 @@
 
 /** Collects the parts of an answer. */
 struct Parts : public AnswerParts {
-	void OnHead(AnswerHead it) override { this->head = std::move(it); }
+	void OnHead(ResponseHead it) override { this->head = std::move(it); }
 	void OnBody(std::string_view data) override { this->body.append(data); }
 
-	AnswerHead head;  ///< The head.
-	std::string body; ///< The body so far.
+	ResponseHead head; ///< The head.
+	std::string body;  ///< The body so far.
 };
 
 /** Feeds a request in pieces of a size and tells how it ended. */
@@ -178,7 +178,7 @@
 	CHECK(*back.headers.Find("host") == "10.0.0.1:80");
 	CHECK(*back.headers.Find("glade-tenant") == "oyo");
 
-	AnswerHead head;
+	ResponseHead head;
 	head.headers.Add("A", "b");
 	AnswerReader answer(false);
 	Parts parts;
--- a/tests/test_request_matrix.cpp
+++ b/tests/test_request_matrix.cpp
@@ -110,7 +110,7 @@
 		case Mishap::MH_CALLER_LEAVES:
 			if (!this->first->ended && !this->first->broken) {
 				this->first->gone = true;
-				this->first->exchange->OnCallerGone();
+				this->first->exchange->OnCallerDisconnected();
 			}
 			break;
 		case Mishap::MH_ENTRY_KILLED:
--- a/tests/test_request_path.cpp
+++ b/tests/test_request_path.cpp
@@ -114,7 +114,7 @@
 		world.Run(Millis(150));
 		if (i % 3 == 0 && !probe.ended) {
 			probe.gone = true;
-			probe.exchange->OnCallerGone();
+			probe.exchange->OnCallerDisconnected();
 		}
 	}
 	world.Run(Millis(10000));
@@ -182,7 +182,7 @@
 		world.Run(Millis(10));
 	}
 	const auto views = world.entries[0]->path.routes.Gates().begin()->second->Endpoints(world.clock.Now());
-	CHECK(std::ranges::count(views, true, &EndpointView::ejected) <= 2);
+	CHECK(std::ranges::count(views, true, &EndpointStatus::ejected) <= 2);
 	for (auto &[address, endpoint] : world.endpoints) {
 		endpoint.deed = EndpointDeed::ED_ANSWER;
 	}
--- a/tests/test_slots.cpp
+++ b/tests/test_slots.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** Entries of a zone with brokers; messages may be lost or told twice. */
-class LendingZone : public SlotMail {
+class LendingZone : public SlotTransport {
 public:
 	LendingZone()
 	{
@@ -74,13 +74,13 @@
 	{
 		const auto gate = this->Gate(node);
 		for (int i = 0; i < n; i++) {
-			SlotAsk ask;
+			SlotRequest ask;
 			ask.service = ServiceName("s");
 			ask.deadline = this->clock.Now() + Millis(MS_PER_HOUR);
-			ask.done = [this, node](const GateAnswer &answer) {
+			ask.done = [this, node](const GateDecision &answer) {
 				this->held[node] += answer.code == ResultCode::RC_OK ? 1 : 0;
 			};
-			AskId id;
+			SlotRequestId id;
 			if (const auto now = gate->Ask(std::move(ask), this->clock.Now(), id); now) {
 				this->held[node] += now->code == ResultCode::RC_OK ? 1 : 0;
 			}
@@ -91,7 +91,7 @@
 	{
 		for (int i = 0; i<n &&this->held[node]> 0; i++) {
 			this->held[node]--;
-			this->Gate(node)->Release(BoxName("box-0"), ServiceName("s"), CallOutcome::CO_GOOD, Millis(10),
+			this->Gate(node)->Release(BoxName("box-0"), ServiceName("s"), CallOutcome::CO_SUCCESS, Millis(10),
 									  this->clock.Now());
 		}
 	}
--- a/tests/test_sockets.cpp
+++ b/tests/test_sockets.cpp
@@ -62,7 +62,7 @@
 									EndpointStandinSettings())
 							   .settings),
 			  path(EntryIdentity{MemberName("entry"), ZoneName("z"), Incarnation(1)}, GateSettings{}, LeaseTimes{},
-				   KeyLimits{}, PathSettings{}, this->credentials),
+				   KeyLimits{}, RequestSettings{}, this->credentials),
 			  lane(this->path, limits, limits, DialLimits{}),
 			  listener([this](qintptr socket) { this->lane.Take(socket, false); })
 	{
