--- a/src/jobs/job_codec.cpp
+++ b/src/jobs/job_codec.cpp
@@ -92,7 +92,7 @@
 	out.first_due = spec.first_due.Value();
 	out.interval = spec.interval.Value();
 	out.repeats = spec.repeats;
-	out.begun = spec.begun.Value();
+	out.begun = spec.requested_at.Value();
 	out.account = spec.account.Value();
 	return PackRecord<wire::SubmissionRecord>(out);
 }
@@ -111,7 +111,7 @@
 	spec.first_due = Millis(in->first_due);
 	spec.interval = Millis(in->interval);
 	spec.repeats = in->repeats;
-	spec.begun = Millis(in->begun);
+	spec.requested_at = Millis(in->begun);
 	spec.account = AccountName(in->account);
 	return spec;
 }
--- a/src/jobs/job_config.cpp
+++ b/src/jobs/job_config.cpp
@@ -43,9 +43,11 @@
 	return std::ranges::find(this->labels, label) != this->labels.end();
 }
 
-std::string LifeText(const BoxIncarnation &life)
+std::string LifeText(const BoxIncarnation &incarnation)
 {
-	return life.started == Millis(0) ? life.id.Value() : life.id.Value() + "@" + std::to_string(life.started.Value());
+	return incarnation.started == Millis(0)
+				   ? incarnation.id.Value()
+				   : incarnation.id.Value() + "@" + std::to_string(incarnation.started.Value());
 }
 
 const char *NameOf(JobPhase phase)
--- a/src/jobs/job_type.h
+++ b/src/jobs/job_type.h
@@ -29,7 +29,7 @@
 };
 
 /** @return A life, as logs show it: the id, and when it began if that is known. @param life The life. */
-std::string LifeText(const BoxIncarnation &life);
+std::string LifeText(const BoxIncarnation &incarnation);
 
 /** A step of a job: tasks that are alike. */
 struct StepSpec {
@@ -63,7 +63,7 @@
 	Millis first_due;            ///< Wall time of the first occurrence, for repeated jobs.
 	Millis interval;             ///< Between two occurrences.
 	uint32_t repeats = 0;        ///< Occurrences; 0 for one at once.
-	Millis begun;                ///< Wall time at which its caller first asked, as far as that is known.
+	Millis requested_at;         ///< Wall time at which its caller first asked, as far as that is known.
 
 	/** @return Number of occurrences. */
 	[[nodiscard]] uint32_t Occurrences() const { return this->repeats == 0 ? 1 : this->repeats; }
@@ -110,7 +110,7 @@
 	uint32_t failures_max = 1; ///< Runs of a task that may fail; the job fails with the last.
 	double stretch = 1.0;      ///< Objective: this times the longest chain of work, plus `headroom`.
 	Millis headroom;           ///< Time on top of the stretched chain.
-	bool advised = false;      ///< Only boxes that a policy allows may run its steps: each start needs a ticket.
+	bool needs_ticket = false; ///< Only boxes that a policy allows may run its steps: each start needs a ticket.
 	bool keyless = false;      ///< Callers need no key; what it runs belongs to no account.
 };
 
@@ -144,7 +144,7 @@
 
 /** What a box's agent says of itself. */
 struct BoxReport {
-	BoxIncarnation life;             ///< Its current start.
+	BoxIncarnation incarnation;      ///< Its current start.
 	BoxName box;                     ///< The box.
 	ServiceName service;             ///< Pool that it serves.
 	std::string address;             ///< IP:port of its agent.
@@ -190,7 +190,7 @@
 struct OrderAnswer {
 	OrderOutcome outcome = OrderOutcome::OO_UNKNOWN; ///< How it ended.
 	std::optional<Millis> box_clock;                 ///< The box's clock, when it told.
-	std::optional<BoxIncarnation> life;              ///< The life that answered, when it told.
+	std::optional<BoxIncarnation> incarnation;       ///< The life that answered, when it told.
 };
 
 /** How a run ended. */
--- a/src/jobs/shard_base.h
+++ b/src/jobs/shard_base.h
@@ -78,7 +78,7 @@
 	/** The report under an id is gone. @param id The id. */
 	void OnReportRemoved(const BoxId &id);
 	/** Tells where a life answered whose report has gone. Before Begin(). @param report Its last report. */
-	void NoteRemovedReport(const BoxReport &report) { this->gone_reports[report.life] = report; }
+	void NoteRemovedReport(const BoxReport &report) { this->gone_reports[report.incarnation] = report; }
 	/** Everything known when the shard was claimed has been told: begins to place. */
 	void Begin();
 
@@ -260,7 +260,7 @@
 	void Assign(ShardJob &job, const TaskId &id, ShardBox &box, RunNumber run);
 	void PumpStarts();
 	void SendStart(const PendingStart &start);
-	void OnStarted(const TaskId &id, RunNumber run, const BoxIncarnation &life, const OrderAnswer &answer);
+	void OnStarted(const TaskId &id, RunNumber run, const BoxIncarnation &incarnation, const OrderAnswer &answer);
 	void OnStartUnknown(const TaskId &id, ShardTask &task);
 	void RepeatStart(const TaskId &id, ShardTask &task);
 	void OnStartRefused(const TaskId &id, ShardTask &task, OrderOutcome outcome);
@@ -280,12 +280,12 @@
 	[[nodiscard]] OrderSent Sent(const ShardBox &box) const;
 	bool TakeOutcome(const OrderSent &sent, const OrderAnswer &answer);
 	[[nodiscard]] static bool OfOtherLife(const OrderSent &sent, const OrderAnswer &answer);
-	void OnStopped(const TaskId &id, RunNumber run, const BoxIncarnation &life, const OrderAnswer &answer);
+	void OnStopped(const TaskId &id, RunNumber run, const BoxIncarnation &incarnation, const OrderAnswer &answer);
 
 	/* shard_boxes.cpp */
 	void PumpLease(ShardBox &box);
 	[[nodiscard]] static bool Idle(const ShardBox &box);
-	void PumpAfter(const BoxIncarnation &life, Millis delay);
+	void PumpAfter(const BoxIncarnation &incarnation, Millis delay);
 	void OnLease(const OrderSent &sent, uint64_t noted, const LeaseAnswer &answer);
 	void OnNoLease(ShardBox &box, OrderOutcome outcome);
 	[[nodiscard]] bool Behind() const;
@@ -353,7 +353,7 @@
 	void EmptyBoxes();
 	[[nodiscard]] bool Gone(const ShardBox &box, Millis now) const;
 	void NoteStoreAway();
-	[[nodiscard]] bool Heard(const BoxIncarnation &life) const;
+	[[nodiscard]] bool Heard(const BoxIncarnation &incarnation) const;
 	[[nodiscard]] bool MayStop(const ShardJob &job, const TaskId &id) const;
 	[[nodiscard]] static bool Placing(const ShardBox &box, Millis now);
 };
--- a/src/jobs/shard_boxes.cpp
+++ b/src/jobs/shard_boxes.cpp
@@ -41,11 +41,11 @@
 		return;
 	}
 	if (this->Outdated(report)) {
-		this->older_reports[report.life.id] = report;
+		this->older_reports[report.incarnation.id] = report;
 		return;
 	}
-	this->older_reports.erase(report.life.id);
-	auto [it, added] = this->boxes.try_emplace(report.life);
+	this->older_reports.erase(report.incarnation.id);
+	auto [it, added] = this->boxes.try_emplace(report.incarnation);
 	ShardBox &box = it->second;
 	if (box.over) {
 		return; /* It has ended for certain: an old report is told once more. */
@@ -69,7 +69,7 @@
 		return;
 	}
 	this->log.Write("box_report", {{"box", report.box.Value()},
-								   {"life", LifeText(report.life)},
+								   {"life", LifeText(report.incarnation)},
 								   {"cpu", std::to_string(report.capacity.cpu)},
 								   {"leaving", report.leaving ? "yes" : "no"}});
 	if (report.leaving && !was_leaving) {
@@ -82,8 +82,8 @@
 {
 	/* Either it was written before the start that is known, or the wall clock was set back. The box's next answer
 	 * tells: see EndLife(). */
-	const std::vector<ShardBox *> lives = this->LivesOf(report.life.id);
-	return !lives.empty() && !lives.back()->over && report.life < lives.back()->report.life;
+	const std::vector<ShardBox *> lives = this->LivesOf(report.incarnation.id);
+	return !lives.empty() && !lives.back()->over && report.incarnation < lives.back()->report.incarnation;
 }
 
 void Shard::OnReportRemoved(const BoxId &id)
@@ -96,7 +96,7 @@
 		box->listed = false;
 		this->boxes_changed = true;
 		this->log.Write("box_report_gone",
-						{{"life", LifeText(box->report.life)}, {"placed", std::to_string(box->placed.size())}});
+						{{"life", LifeText(box->report.incarnation)}, {"placed", std::to_string(box->placed.size())}});
 		this->Wake();
 	}
 }
@@ -136,12 +136,12 @@
 	box.lapse_at = std::max(box.lapse_at, end);
 }
 
-void Shard::PumpAfter(const BoxIncarnation &life, Millis delay)
+void Shard::PumpAfter(const BoxIncarnation &incarnation, Millis delay)
 {
-	ShardBox &box = this->boxes.at(life);
+	ShardBox &box = this->boxes.at(incarnation);
 	this->scheduler.Cancel(box.timer);
-	box.timer = this->scheduler.After(delay, [this, life] {
-		const auto it = this->boxes.find(life);
+	box.timer = this->scheduler.After(delay, [this, incarnation] {
+		const auto it = this->boxes.find(incarnation);
 		if (it != this->boxes.end()) {
 			it->second.timer = TimerId();
 			this->PumpLease(it->second);
@@ -235,7 +235,7 @@
 	}
 	const Millis now = this->scheduler.Now();
 	if (const Millis due = this->LookDue(box); box.adopted && now < due) {
-		this->PumpAfter(box.report.life, due - now);
+		this->PumpAfter(box.report.incarnation, due - now);
 		return;
 	}
 	LeaseOrder order;
@@ -262,7 +262,7 @@
 
 void Shard::OnLease(const OrderSent &sent, uint64_t noted, const LeaseAnswer &answer)
 {
-	const auto it = this->boxes.find(sent.life);
+	const auto it = this->boxes.find(sent.incarnation);
 	if (it == this->boxes.end()) {
 		return;
 	}
@@ -291,14 +291,14 @@
 	const bool new_ends = this->TakeEnded(box, answer.ended);
 	if (answer.ended.size() < ENDS_AT_ONCE) {
 		this->TakeMissing(box, sent.at);
-		this->LoseHeld(sent.life.id, "not_there");
+		this->LoseHeld(sent.incarnation.id, "not_there");
 	}
 	if (!box.adopted) {
 		this->Adopt(box);
 	}
 	/* With ends to be recorded, OnCommitted() asks on; when the log can't be reached, this timer does. */
 	const bool waits_for_record = new_ends || box.ends_seen > box.ends_durable;
-	this->PumpAfter(sent.life, waits_for_record ? UNRECORDED_GAP : Millis(0));
+	this->PumpAfter(sent.incarnation, waits_for_record ? UNRECORDED_GAP : Millis(0));
 	if (new_ends || was_on_trial) {
 		this->Wake();
 	}
@@ -311,7 +311,7 @@
 		this->NoteLongestLease(box);
 	}
 	this->log.Write("box_adopted",
-					{{"life", LifeText(box.report.life)}, {"placed", std::to_string(box.placed.size())}});
+					{{"life", LifeText(box.report.incarnation)}, {"placed", std::to_string(box.placed.size())}});
 	if (box.report.leaving) {
 		this->Evacuate(box);
 	}
@@ -320,12 +320,12 @@
 
 void Shard::OnNoLease(ShardBox &box, OrderOutcome outcome)
 {
-	this->log.Write("box_silent", {{"life", LifeText(box.report.life)},
+	this->log.Write("box_silent", {{"life", LifeText(box.report.incarnation)},
 								   {"outcome", NameOf(outcome)},
 								   {"silent", box.silent ? "yes" : "no"},
 								   {"placed", std::to_string(box.placed.size())},
 								   {"silent_ms", std::to_string((this->scheduler.Now() - box.answered_at).Value())}});
-	this->PumpAfter(box.report.life, box.silent ? RETRY_AFTER : Millis(0));
+	this->PumpAfter(box.report.incarnation, box.silent ? RETRY_AFTER : Millis(0));
 }
 
 void Shard::TakeRunning(ShardBox &box, const std::vector<RunningRow> &rows, Millis sent)
@@ -359,7 +359,7 @@
 {
 	this->log.Write("stranger", {{"job", row.task.job.Value()},
 								 {"run", std::to_string(row.run.Value())},
-								 {"box", LifeText(box.report.life)}});
+								 {"box", LifeText(box.report.incarnation)}});
 	this->counters.stops++;
 	this->orders.Stop(box.report, row.task, row.run, box.fence, [](const OrderAnswer &) {
 		/* The next list tells whether it is gone; it is stopped again until then. */
@@ -436,7 +436,7 @@
 	size_t busy = 0;
 	this->counters.boxes_walked += this->boxes.size();
 	std::vector<BoxIncarnation> forget;
-	for (auto &[life, box] : this->boxes) {
+	for (auto &[incarnation, box] : this->boxes) {
 		busy += box.placed.empty() ? 0 : 1;
 		const bool lapsed = !box.over && now >= box.lapse_at && now - box.answered_at > this->limits.lease_wait;
 		if (lapsed && !box.placed.empty()) {
@@ -446,14 +446,14 @@
 		}
 		const bool useless = !box.listed && box.placed.empty() && !box.asking;
 		if (useless && (box.over || now - box.answered_at > FORGET_AFTER)) {
-			forget.push_back(life);
+			forget.push_back(incarnation);
 		}
 	}
 	this->SetLookGap(busy);
 	std::erase_if(this->held, [this](const BoxId &it) { return !this->Holds(it); });
-	for (const BoxIncarnation &life : forget) {
-		this->scheduler.Cancel(this->boxes.at(life).timer);
-		this->boxes.erase(life);
+	for (const BoxIncarnation &incarnation : forget) {
+		this->scheduler.Cancel(this->boxes.at(incarnation).timer);
+		this->boxes.erase(incarnation);
 	}
 }
 
--- a/src/jobs/shard_crashes.cpp
+++ b/src/jobs/shard_crashes.cpp
@@ -120,14 +120,14 @@
 		this->trial_box.reset();
 		return;
 	}
-	auto box = std::ranges::find_if(round.open,
-									[this](const OpenBox &it) { return it.box->report.life == this->trial_box; });
+	auto box = std::ranges::find_if(
+			round.open, [this](const OpenBox &it) { return it.box->report.incarnation == this->trial_box; });
 	if (box == round.open.end()) {
 		/* Tasks that last would keep it from getting empty. */
 		box = std::ranges::max_element(round.open, {}, [this](const OpenBox &it) {
 			return std::pair(-this->CountLasting(*it.box), it.free.cpu);
 		});
-		this->trial_box = box->box->report.life;
+		this->trial_box = box->box->report.incarnation;
 		this->log.Write("trial_box",
 						{{"life", LifeText(*this->trial_box)}, {"placed", std::to_string(box->box->placed.size())}});
 	}
@@ -205,7 +205,7 @@
 	this->log.Write("crashed_under", {{"job", id.job.Value()},
 									  {"task", std::to_string(job.IndexOf(id))},
 									  {"run", std::to_string(task.run.Value())},
-									  {"life", LifeText(box.report.life)},
+									  {"life", LifeText(box.report.incarnation)},
 									  {"lived_ms", std::to_string((box.answered_at - task.ordered_at).Value())},
 									  {"last_start", last_start ? "yes" : "no"},
 									  {"crashes", std::to_string(task.crashes)},
--- a/src/jobs/shard_drain.cpp
+++ b/src/jobs/shard_drain.cpp
@@ -45,9 +45,9 @@
 	this->Wake();
 }
 
-bool Shard::Heard(const BoxIncarnation &life) const
+bool Shard::Heard(const BoxIncarnation &incarnation) const
 {
-	const auto it = this->boxes.find(life);
+	const auto it = this->boxes.find(incarnation);
 	const Millis within = this->limits.lease_wait + OVERDUE;
 	return it != this->boxes.end() && !it->second.over && !it->second.silent &&
 		   this->scheduler.Now() - it->second.listed_at <= within;
@@ -173,10 +173,10 @@
 	};
 	out.waiting_cpu = cpu_of(ready);
 	out.late_cpu = cpu_of(late);
-	for (const auto &[life, box] : this->boxes) {
+	for (const auto &[incarnation, box] : this->boxes) {
 		if (box.listed && !box.over) {
-			out.boxes.push_back(PoolBox{box.report.box, life, static_cast<uint32_t>(box.placed.size()), box.used.cpu,
-										box.report.capacity.cpu, Placing(box, now),
+			out.boxes.push_back(PoolBox{box.report.box, incarnation, static_cast<uint32_t>(box.placed.size()),
+										box.used.cpu, box.report.capacity.cpu, Placing(box, now),
 										any_late ? this->LateCpuOn(box, wall_now) : 0});
 		}
 	}
--- a/src/jobs/shard_jobs.cpp
+++ b/src/jobs/shard_jobs.cpp
@@ -121,7 +121,7 @@
 		auto [it, added] = this->boxes.try_emplace(task.box);
 		if (added) {
 			/* Its report has not come (yet). */
-			it->second.report.life = task.box;
+			it->second.report.incarnation = task.box;
 			it->second.fence = this->NextFence();
 			it->second.listed = false;
 			it->second.lapse_at = this->FirstLapse();
@@ -133,7 +133,7 @@
 								  {"route", spec.route.Value()},
 								  {"account", spec.account.Value()},
 								  {"tasks", std::to_string(kept.tasks.size())},
-								  {"age_ms", std::to_string((this->scheduler.WallNow() - spec.begun).Value())},
+								  {"age_ms", std::to_string((this->scheduler.WallNow() - spec.requested_at).Value())},
 								  {"image", kept.spec.steps.empty() ? "" : kept.spec.steps.front().image},
 								  {"estimate_ms", std::to_string(kept.spec.steps.front().estimate.Value())},
 								  {"phase", NameOf(kept.phase)}});
@@ -201,13 +201,13 @@
 									{"jobs", std::to_string(this->jobs.size())},
 									{"live", std::to_string(this->live.size())},
 									{"boxes", std::to_string(this->boxes.size())}});
-	for (auto &[life, box] : this->boxes) {
-		if (ShardBox *newest = this->LivesOf(life.id).back(); !newest->over) {
+	for (auto &[incarnation, box] : this->boxes) {
+		if (ShardBox *newest = this->LivesOf(incarnation.id).back(); !newest->over) {
 			this->EndOtherLives(*newest);
 		}
 		/* Whether a box that was lost from sight has another life by now, it tells itself: otherwise its tasks wait
 		 * until its lease must have lapsed. */
-		if (const auto it = this->gone_reports.find(life); it != this->gone_reports.end() && !box.listed) {
+		if (const auto it = this->gone_reports.find(incarnation); it != this->gone_reports.end() && !box.listed) {
 			box.report = it->second;
 		}
 		this->PumpLease(box);
--- a/src/jobs/shard_lives.cpp
+++ b/src/jobs/shard_lives.cpp
@@ -40,7 +40,7 @@
 
 void Shard::EndOtherLives(ShardBox &current)
 {
-	for (ShardBox *box : this->LivesOf(current.report.life.id)) {
+	for (ShardBox *box : this->LivesOf(current.report.incarnation.id)) {
 		if (box == &current) {
 			continue;
 		}
@@ -61,25 +61,25 @@
 	box.over = true;
 	this->counters.restarted += box.followed ? 1 : 0;
 	this->scheduler.Cancel(box.timer);
-	this->log.Write("box_over", {{"life", LifeText(box.report.life)},
+	this->log.Write("box_over", {{"life", LifeText(box.report.incarnation)},
 								 {"why", why},
 								 {"placed", std::to_string(box.placed.size())},
 								 {"clock", std::to_string(box.clock.value_or(Millis(-1)).Value())},
 								 {"ends_noted", std::to_string(box.ends_durable)}});
 	this->LoseTasks(box, why, this->EvidenceOf(box));
 	if (!box.placed.empty()) {
-		this->held.insert(box.report.life.id);
+		this->held.insert(box.report.incarnation.id);
 	}
 	this->Wake();
-	if (const auto older = this->older_reports.extract(box.report.life.id); !older.empty()) {
+	if (const auto older = this->older_reports.extract(box.report.incarnation.id); !older.empty()) {
 		this->OnReport(older.mapped());
 	}
 }
 
 void Shard::NoteEnded(const std::set<BoxIncarnation> &lives)
 {
-	for (const BoxIncarnation &life : lives) {
-		if (const auto it = this->boxes.find(life); it != this->boxes.end()) {
+	for (const BoxIncarnation &incarnation : lives) {
+		if (const auto it = this->boxes.find(incarnation); it != this->boxes.end()) {
 			this->EndLife(it->second, "machine_down");
 		}
 	}
@@ -148,7 +148,7 @@
 		const std::vector<ShardBox *> lives = this->LivesOf(id);
 		const bool here = std::ranges::any_of(
 				lives, [&report](const ShardBox *it) { return it->over && it->report.box == report.box; });
-		if (id != report.life.id && here) {
+		if (id != report.incarnation.id && here) {
 			this->LoseHeld(id, "other_id");
 		}
 	}
@@ -159,11 +159,11 @@
 	if (task.phase != TaskPhase::TP_PLACED || task.run != run) {
 		return false;
 	}
-	if (task.box == box.report.life) {
+	if (task.box == box.report.incarnation) {
 		return true;
 	}
 	const auto before = this->boxes.find(task.box);
-	if (task.box.id != box.report.life.id || before == this->boxes.end() || !before->second.over) {
+	if (task.box.id != box.report.incarnation.id || before == this->boxes.end() || !before->second.over) {
 		return false;
 	}
 	/* The order was meant for the life before, and this one has carried it out. */
@@ -172,10 +172,10 @@
 									  {"task", std::to_string(job.IndexOf(id))},
 									  {"run", std::to_string(run.Value())},
 									  {"from", LifeText(task.box)},
-									  {"to", LifeText(box.report.life)}});
+									  {"to", LifeText(box.report.incarnation)}});
 	this->counters.inherited++;
 	this->Take(before->second, job, id);
-	task.box = box.report.life;
+	task.box = box.report.incarnation;
 	this->Put(box, job, id);
 	this->Touch(id.job);
 	return true;
--- a/src/jobs/shard_owner.cpp
+++ b/src/jobs/shard_owner.cpp
@@ -263,22 +263,22 @@
 
 void ShardOwner::OnReport(const BoxReport &report)
 {
-	const auto known = this->reports.find(report.life.id);
+	const auto known = this->reports.find(report.incarnation.id);
 	if (report.service != this->service) {
 		if (known != this->reports.end()) {
 			/* A life keeps its service: what names another one now is a later life, or was written by somebody else. */
-			const BoxIncarnation before = known->second.life;
-			if (this->shard && before < report.life) {
+			const BoxIncarnation before = known->second.incarnation;
+			if (this->shard && before < report.incarnation) {
 				this->shard->NoteEnded({before});
 			}
-			this->OnReportRemoved(report.life.id);
+			this->OnReportRemoved(report.incarnation.id);
 		}
 		return;
 	}
-	if (known != this->reports.end() && known->second.life != report.life) {
+	if (known != this->reports.end() && known->second.incarnation != report.incarnation) {
 		this->gone.push_back(known->second);
 	}
-	this->reports[report.life.id] = report;
+	this->reports[report.incarnation.id] = report;
 	if (this->shard) {
 		this->shard->OnReport(report);
 	}
--- a/src/jobs/shard_place.cpp
+++ b/src/jobs/shard_place.cpp
@@ -85,8 +85,8 @@
 
 bool Shard::MayRun(const ShardJob &job, const TaskId &first, const ShardBox &box) const
 {
-	return !job.route.advised ||
-		   this->tickets.Find(StepId{first.job, first.occurrence, first.step}, box.report.life) != nullptr;
+	return !job.route.needs_ticket ||
+		   this->tickets.Find(StepId{first.job, first.occurrence, first.step}, box.report.incarnation) != nullptr;
 }
 
 void Shard::WantTickets(const PlaceRound &round, const ShardJob &job, const TaskId &first)
@@ -104,7 +104,8 @@
 		return std::tuple(!step.data_rack.empty() && it.box->report.HasLabel(step.data_rack), -it.free.cpu);
 	});
 	std::vector<BoxIncarnation> lives;
-	std::ranges::transform(able, std::back_inserter(lives), [](const OpenBox &it) { return it.box->report.life; });
+	std::ranges::transform(able, std::back_inserter(lives),
+						   [](const OpenBox &it) { return it.box->report.incarnation; });
 	this->tickets.Want(StepId{first.job, first.occurrence, first.step}, lives, static_cast<size_t>(waiting));
 }
 
@@ -190,14 +191,14 @@
 		}
 		OpenBox *it = this->Choose(round.open, job, first, kind);
 		if (it == nullptr) {
-			if (job.route.advised) {
+			if (job.route.needs_ticket) {
 				this->WantTickets(round, job, first);
 			}
 			if (kind != StartKind::SK_PLAIN) {
 				continue; /* The others may still start. */
 			}
 			/* Others with the same wishes or more need not look. */
-			if (!job.route.advised && spec.required_label.empty() && spec.per_box == 0) {
+			if (!job.route.needs_ticket && spec.required_label.empty() && spec.per_box == 0) {
 				round.hopeless.push_back(spec.demand);
 			}
 			if (!this->MayTry(round, job)) {
@@ -252,7 +253,7 @@
 	const StartKind kind = suspect ? StartKind::SK_SUSPECT : StartKind::SK_PLAIN;
 	const bool found =
 			std::ranges::any_of(choices, [&](auto &open) { return this->PickGang(open, job, first, kind, picks); });
-	if (!found && job.route.advised) {
+	if (!found && job.route.needs_ticket) {
 		this->WantTickets(round, job, first);
 	}
 	for (TaskId id = first; const uint32_t index : std::views::iota(0U, found ? spec.count : 0U)) {
@@ -269,7 +270,7 @@
 	ShardTask &task = job.tasks[job.IndexOf(id)];
 	task.phase = TaskPhase::TP_PLACED;
 	task.run = run;
-	task.box = box.report.life;
+	task.box = box.report.incarnation;
 	task.run_state = RunState::RS_RECORDING;
 	task.uncertain = false;
 	task.stop_wanted = task.stop_sent = task.stop_confirmed = false;
@@ -339,7 +340,7 @@
 				this->tickets.Find(StepId{start.task.job, start.task.occurrence, start.task.step}, task->box);
 		ticket != nullptr) {
 		order.ticket = *ticket;
-	} else if (job.route.advised) {
+	} else if (job.route.needs_ticket) {
 		this->GiveUpStart(start.task, *task, RunEnding::RE_STOPPED, "ticket_over");
 		return;
 	}
@@ -366,7 +367,7 @@
 						   }
 						   this->starts_under_way--;
 						   if (this->TakeOutcome(sent, answer)) {
-							   this->OnStarted(start.task, start.run, sent.life, answer);
+							   this->OnStarted(start.task, start.run, sent.incarnation, answer);
 						   }
 						   this->PumpStarts();
 					   });
@@ -382,11 +383,11 @@
 	}
 }
 
-void Shard::OnStarted(const TaskId &id, RunNumber run, const BoxIncarnation &life, const OrderAnswer &answer)
+void Shard::OnStarted(const TaskId &id, RunNumber run, const BoxIncarnation &incarnation, const OrderAnswer &answer)
 {
 	ShardTask *task = this->FindTask(id);
 	const bool current =
-			task != nullptr && task->phase == TaskPhase::TP_PLACED && task->run == run && task->box == life;
+			task != nullptr && task->phase == TaskPhase::TP_PLACED && task->run == run && task->box == incarnation;
 	if (!current) {
 		return;
 	}
@@ -401,7 +402,7 @@
 	}
 	this->log.Write("start_failed", {{"job", id.job.Value()},
 									 {"run", std::to_string(run.Value())},
-									 {"box", LifeText(life)},
+									 {"box", LifeText(incarnation)},
 									 {"outcome", NameOf(answer.outcome)}});
 	if (answer.outcome == OrderOutcome::OO_UNKNOWN) {
 		this->OnStartUnknown(id, *task);
--- a/src/jobs/shard_rank.cpp
+++ b/src/jobs/shard_rank.cpp
@@ -82,7 +82,7 @@
 	JobRank rank;
 	rank.priority = job.route.priority;
 	rank.waiting_work = outlook.waiting_work;
-	const auto age = static_cast<double>((wall_now - job.spec.begun).Value());
+	const auto age = static_cast<double>((wall_now - job.spec.requested_at).Value());
 	const double objective = job.route.stretch * outlook.chain_all + static_cast<double>(job.route.headroom.Value());
 	if (outlook.lasting) {
 		rank.hope = JobHope::JH_LASTING;
--- a/src/jobs/shard_records.cpp
+++ b/src/jobs/shard_records.cpp
@@ -115,9 +115,9 @@
 	Batch batch;
 	batch.made_at = this->scheduler.Now();
 	this->counters.boxes_walked += this->boxes.size();
-	for (const auto &[life, box] : this->boxes) {
+	for (const auto &[incarnation, box] : this->boxes) {
 		if (box.ends_seen > box.ends_durable) {
-			batch.ends[life] = box.ends_seen;
+			batch.ends[incarnation] = box.ends_seen;
 		}
 	}
 	batch.taken = std::exchange(this->accepted, {});
@@ -188,8 +188,8 @@
 	}
 	this->PumpStarts();
 	std::ranges::for_each(batch.stops, [this](const PendingStop &it) { this->OnStopRecorded(it); });
-	for (const auto &[life, number] : batch.ends) {
-		const auto it = this->boxes.find(life);
+	for (const auto &[incarnation, number] : batch.ends) {
+		const auto it = this->boxes.find(incarnation);
 		if (it != this->boxes.end()) {
 			it->second.ends_durable = std::max(it->second.ends_durable, number);
 			this->PumpLease(it->second);
--- a/src/jobs/shard_runs.cpp
+++ b/src/jobs/shard_runs.cpp
@@ -190,25 +190,25 @@
 					  [this, id, run = task->run, sent = this->Sent(it->second),
 					   still = std::weak_ptr<bool>(this->alive)](const OrderAnswer &answer) {
 						  if (!still.expired() && this->TakeOutcome(sent, answer)) {
-							  this->OnStopped(id, run, sent.life, answer);
+							  this->OnStopped(id, run, sent.incarnation, answer);
 						  }
 					  });
 }
 
 OrderSent Shard::Sent(const ShardBox &box) const
 {
-	return OrderSent{box.report.life, box.fence, this->scheduler.Now(), box.clock};
+	return OrderSent{box.report.incarnation, box.fence, this->scheduler.Now(), box.clock};
 }
 
 bool Shard::OfOtherLife(const OrderSent &sent, const OrderAnswer &answer)
 {
 	const bool clock_back = sent.clock && answer.box_clock && *answer.box_clock < *sent.clock;
-	return clock_back || (answer.life && *answer.life != sent.life);
+	return clock_back || (answer.incarnation && *answer.incarnation != sent.incarnation);
 }
 
 bool Shard::TakeOutcome(const OrderSent &sent, const OrderAnswer &answer)
 {
-	const auto box = this->boxes.find(sent.life);
+	const auto box = this->boxes.find(sent.incarnation);
 	if (answer.outcome == OrderOutcome::OO_FENCED) {
 		/* A life that is over may have been followed by one that has seen our own, higher token. */
 		if (box != this->boxes.end() && !box->second.over) {
@@ -221,7 +221,7 @@
 	}
 	if (answer.outcome == OrderOutcome::OO_OTHER_INCARNATION) {
 		this->EndLife(box->second, "other_life");
-		this->LoseHeld(sent.life.id, "other_life");
+		this->LoseHeld(sent.incarnation.id, "other_life");
 	} else if (OfOtherLife(sent, answer)) {
 		/* What its next life lists is taken in once that life is asked itself. */
 		box->second.followed = true;
@@ -234,11 +234,11 @@
 	return true;
 }
 
-void Shard::OnStopped(const TaskId &id, RunNumber run, const BoxIncarnation &life, const OrderAnswer &answer)
+void Shard::OnStopped(const TaskId &id, RunNumber run, const BoxIncarnation &incarnation, const OrderAnswer &answer)
 {
-	const auto box = this->boxes.find(life);
+	const auto box = this->boxes.find(incarnation);
 	ShardTask *task = this->FindTask(id);
-	if (task == nullptr || task->phase != TaskPhase::TP_PLACED || task->run != run || task->box != life) {
+	if (task == nullptr || task->phase != TaskPhase::TP_PLACED || task->run != run || task->box != incarnation) {
 		return;
 	}
 	task->stop_sent = false;
--- a/src/jobs/shard_type.h
+++ b/src/jobs/shard_type.h
@@ -180,7 +180,7 @@
 
 /** An order to a box that is under way: who it was meant for, and what was known then. */
 struct OrderSent {
-	BoxIncarnation life;         ///< The life that it was sent to.
+	BoxIncarnation incarnation;  ///< The life that it was sent to.
 	FenceToken fence;            ///< Its token.
 	Millis at;                   ///< When.
 	std::optional<Millis> clock; ///< The life's clock told last by then: it never goes back.
@@ -243,13 +243,13 @@
 
 /** A box as its pool's owner sees it. */
 struct PoolBox {
-	BoxName box;          ///< The box.
-	BoxIncarnation life;  ///< Its life.
-	uint32_t tasks = 0;   ///< Tasks placed there.
-	int64_t used_cpu = 0; ///< Thousandths of a core taken.
-	int64_t cpu = 0;      ///< Thousandths of a core that it has.
-	bool placing = false; ///< Whether tasks may be placed there.
-	int64_t late_cpu = 0; ///< The part of `used_cpu` that is taken by jobs that can't be on time any more.
+	BoxName box;                ///< The box.
+	BoxIncarnation incarnation; ///< Its life.
+	uint32_t tasks = 0;         ///< Tasks placed there.
+	int64_t used_cpu = 0;       ///< Thousandths of a core taken.
+	int64_t cpu = 0;            ///< Thousandths of a core that it has.
+	bool placing = false;       ///< Whether tasks may be placed there.
+	int64_t late_cpu = 0;       ///< The part of `used_cpu` that is taken by jobs that can't be on time any more.
 };
 
 /** How a pool stands. */
--- a/src/jobs/ticket_desk.cpp
+++ b/src/jobs/ticket_desk.cpp
@@ -18,13 +18,13 @@
 	this->scheduler.Cancel(this->retry);
 }
 
-const std::string *TicketDesk::Find(const StepId &step, const BoxIncarnation &life) const
+const std::string *TicketDesk::Find(const StepId &step, const BoxIncarnation &incarnation) const
 {
 	const auto known = this->steps.find(step);
 	if (known == this->steps.end()) {
 		return nullptr;
 	}
-	const auto it = known->second.tickets.find(life);
+	const auto it = known->second.tickets.find(incarnation);
 	const bool holds = it != known->second.tickets.end() && this->scheduler.Now() < it->second.until;
 	return holds ? &it->second.text : nullptr;
 }
@@ -69,13 +69,14 @@
 	const auto it = this->steps.find(step);
 	if (it != this->steps.end()) {
 		it->second.asking = false;
-		for (const BoxIncarnation &life : advice.code == ResultCode::RC_OK ? asked : std::vector<BoxIncarnation>()) {
-			const auto good = advice.tickets.find(life);
+		for (const BoxIncarnation &incarnation :
+			 advice.code == ResultCode::RC_OK ? asked : std::vector<BoxIncarnation>()) {
+			const auto good = advice.tickets.find(incarnation);
 			if (good == advice.tickets.end()) {
-				it->second.refused.insert(life);
+				it->second.refused.insert(incarnation);
 			} else {
 				/* From the sending on: the answer may have been under way for long. */
-				it->second.tickets[life] = Ticket{good->second, sent + advice.valid - USE_BEFORE};
+				it->second.tickets[incarnation] = Ticket{good->second, sent + advice.valid - USE_BEFORE};
 			}
 		}
 	}
@@ -90,10 +91,10 @@
 	}
 }
 
-void TicketDesk::Drop(const StepId &step, const BoxIncarnation &life)
+void TicketDesk::Drop(const StepId &step, const BoxIncarnation &incarnation)
 {
 	if (const auto it = this->steps.find(step); it != this->steps.end()) {
-		it->second.tickets.erase(life);
+		it->second.tickets.erase(incarnation);
 	}
 }
 
--- a/src/jobs/ticket_desk.h
+++ b/src/jobs/ticket_desk.h
@@ -54,12 +54,12 @@
 
 	/** @return The ticket for a step on a box, or null when there is none that still holds. @param step The step.
 	 * @param life The box. */
-	[[nodiscard]] const std::string *Find(const StepId &step, const BoxIncarnation &life) const;
+	[[nodiscard]] const std::string *Find(const StepId &step, const BoxIncarnation &incarnation) const;
 	/** Asks about boxes for a step, unless that is known or being asked. @param step The step. @param boxes Boxes that
 	 * could run it, the best first. @param wanted Boxes that are needed. */
 	void Want(const StepId &step, const std::vector<BoxIncarnation> &boxes, size_t wanted);
 	/** A ticket was refused. @param step The step. @param life The box. */
-	void Drop(const StepId &step, const BoxIncarnation &life);
+	void Drop(const StepId &step, const BoxIncarnation &incarnation);
 	/** Forgets the tickets of a job. @param job The job. */
 	void Forget(const JobId &job);
 
--- a/src/node/job_desk.cpp
+++ b/src/node/job_api.cpp
@@ -1,5 +1,5 @@
-/** @file job_desk.cpp What callers may ask of jobs, on any node. */
-#include "job_desk.h"
+/** @file job_api.cpp What callers may ask of jobs, on any node. */
+#include "job_api.h"
 
 #include <algorithm>
 
--- a/src/node/job_desk.h
+++ b/src/node/job_api.h
@@ -1,6 +1,6 @@
-/** @file job_desk.h What callers may ask of jobs, on any node: hand in, look up, cancel, count. */
-#ifndef JOB_DESK_H
-#define JOB_DESK_H
+/** @file job_api.h What callers may ask of jobs, on any node: hand in, look up, cancel, count. */
+#ifndef JOB_API_H
+#define JOB_API_H
 
 #include "inbox_writer.h"
 #include "owner_lookup.h"
@@ -74,4 +74,4 @@
 	void Finish(const std::shared_ptr<Pending> &it, ResultCode code);
 };
 
-#endif /* JOB_DESK_H */
+#endif /* JOB_API_H */
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -410,8 +410,8 @@
 		for (const PoolBox &box : status->boxes) {
 			auto row = std::make_unique<glade::wire::PoolBoxT>();
 			row->box = box.box.Value();
-			row->life = box.life.id.Value();
-			row->started = box.life.started.Value();
+			row->life = box.incarnation.id.Value();
+			row->started = box.incarnation.started.Value();
 			row->tasks = box.tasks;
 			row->used_cpu = box.used_cpu;
 			row->late_cpu = box.late_cpu;
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -4,7 +4,7 @@
 
 #include "../upkeep/fleet_owner.h"
 #include "config_peers.h"
-#include "job_desk.h"
+#include "job_api.h"
 
 #include <list>
 
--- a/src/node/shard_host.cpp
+++ b/src/node/shard_host.cpp
@@ -148,11 +148,11 @@
 
 void ShardHost::OnReport(const BoxReport &report)
 {
-	const auto known = this->reports.find(report.life.id);
-	if (known != this->reports.end() && known->second.life != report.life) {
+	const auto known = this->reports.find(report.incarnation.id);
+	if (known != this->reports.end() && known->second.incarnation != report.incarnation) {
 		this->KeepGone(known->second);
 	}
-	this->reports[report.life.id] = report;
+	this->reports[report.incarnation.id] = report;
 	std::ranges::for_each(this->owners | std::views::values, [&report](const auto &it) { it->OnReport(report); });
 }
 
--- a/src/standin/memory/box_site.cpp
+++ b/src/standin/memory/box_site.cpp
@@ -24,7 +24,7 @@
 	Box &box = this->boxes[report.box];
 	box.report = report;
 	box.started = this->clock.Now();
-	box.report.life.started = this->clock.WallNow();
+	box.report.incarnation.started = this->clock.WallNow();
 }
 
 Millis BoxSite::ClockOf(const BoxName &name) const
@@ -38,9 +38,9 @@
 	this->LoseRuns(box);
 	BoxReport report = box.report;
 	if (!this->keeps_id) {
-		report.life.id = BoxId(name.Value() + "-life" + std::to_string(++this->lives));
+		report.incarnation.id = BoxId(name.Value() + "-life" + std::to_string(++this->lives));
 	}
-	report.life.started = this->clock.WallNow() - this->wall_behind;
+	report.incarnation.started = this->clock.WallNow() - this->wall_behind;
 	box = Box{};
 	box.report = report;
 	box.started = this->clock.Now();
@@ -80,8 +80,8 @@
 	}
 	this->crashes++;
 	this->LoseRuns(box);
-	this->clock.After(this->back_after, [this, name, life = box.report.life] {
-		if (this->boxes.at(name).report.life == life) {
+	this->clock.After(this->back_after, [this, name, incarnation = box.report.incarnation] {
+		if (this->boxes.at(name).report.incarnation == incarnation) {
 			this->Restart(name);
 		}
 	});
@@ -129,7 +129,7 @@
 BoxSite::Box *BoxSite::Find(const BoxReport &report)
 {
 	const auto it = this->boxes.find(report.box);
-	return it == this->boxes.end() || it->second.report.life.id != report.life.id ? nullptr : &it->second;
+	return it == this->boxes.end() || it->second.report.incarnation.id != report.incarnation.id ? nullptr : &it->second;
 }
 
 OrderAnswer BoxSite::Plain(const Box *box, OrderOutcome outcome) const
@@ -379,7 +379,7 @@
 		this->ProlongLease(*box, *order.lease_until);
 	}
 	answer.order = this->Plain(box, OrderOutcome::OO_DONE);
-	answer.order.life = box->report.life;
+	answer.order.incarnation = box->report.incarnation;
 	for (const auto &[task, run] : box->running) {
 		answer.running.push_back(RunningRow{task, run.run, {}, 100, 0});
 	}
--- a/src/standin/memory/box_site.h
+++ b/src/standin/memory/box_site.h
@@ -48,7 +48,10 @@
 	/** @return A box's own clock: the time since it started. @param box Which. */
 	[[nodiscard]] Millis ClockOf(const BoxName &box) const;
 	/** @return A box's current life. @param box Which. */
-	[[nodiscard]] const BoxIncarnation &LifeOf(const BoxName &box) const { return this->boxes.at(box).report.life; }
+	[[nodiscard]] const BoxIncarnation &LifeOf(const BoxName &box) const
+	{
+		return this->boxes.at(box).report.incarnation;
+	}
 	/** @return Whether a box has crashed and isn't back. @param box Which. */
 	[[nodiscard]] bool Down(const BoxName &box) const;
 	/** A box serves another pool from now on. @param box Which. @param service The pool. */
--- a/src/upkeep/fleet_view.cpp
+++ b/src/upkeep/fleet_view.cpp
@@ -9,7 +9,7 @@
 	}
 	for (const auto &[pool, status] : view.pools) {
 		for (const PoolBox &box : status.boxes) {
-			this->statuses.emplace(box.life.id.Value(), Told{&pool, &box});
+			this->statuses.emplace(box.incarnation.id.Value(), Told{&pool, &box});
 		}
 	}
 }
--- a/src/upkeep/life_watch.cpp
+++ b/src/upkeep/life_watch.cpp
@@ -15,8 +15,8 @@
 {
 	for (const PoolStatus &pool : pools | std::views::values) {
 		std::ranges::for_each(pool.boxes, [this](const PoolBox &it) {
-			BoxIncarnation &newest = this->known[it.life.id];
-			newest = std::max(newest, it.life);
+			BoxIncarnation &newest = this->known[it.incarnation.id];
+			newest = std::max(newest, it.incarnation);
 		});
 	}
 }
@@ -33,10 +33,10 @@
 		}
 		const auto before = this->last.find(row.box);
 		if (before != this->last.end() && before->second.id != row.id) {
-			if (const auto life = this->known.find(before->second.id); life != this->known.end()) {
+			if (const auto incarnation = this->known.find(before->second.id); incarnation != this->known.end()) {
 				fresh.insert(before->second.pool);
-				this->ended.push_back(Ended{life->second, before->second.pool, now});
-				this->known.erase(life);
+				this->ended.push_back(Ended{incarnation->second, before->second.pool, now});
+				this->known.erase(incarnation);
 			}
 			this->last.erase(before);
 		}
@@ -52,7 +52,7 @@
 	std::set<BoxIncarnation> out;
 	for (const Ended &it : this->ended) {
 		if (it.pool == pool) {
-			out.insert(it.life);
+			out.insert(it.incarnation);
 		}
 	}
 	return out;
--- a/src/upkeep/life_watch.h
+++ b/src/upkeep/life_watch.h
@@ -33,9 +33,9 @@
 
 	/** A life that has ended. */
 	struct Ended {
-		BoxIncarnation life; ///< It.
-		ServiceName pool;    ///< Pool that its machine was in.
-		Millis at;           ///< When it was first missed.
+		BoxIncarnation incarnation; ///< It.
+		ServiceName pool;           ///< Pool that its machine was in.
+		Millis at;                  ///< When it was first missed.
 	};
 
 	std::map<BoxName, Listed> last; ///< Agent listed last, by machine.
--- a/src/upkeep/pool_desk.cpp
+++ b/src/upkeep/pool_desk.cpp
@@ -57,7 +57,7 @@
 	for (const PoolBox &box : status.boxes) {
 		/* The report of a box that has moved away stands for a while. */
 		const MachineRow *row = index.Row(box.box);
-		const bool here = row != nullptr && row->pool == pool && row->id == box.life.id;
+		const bool here = row != nullptr && row->pool == pool && row->id == box.incarnation.id;
 		if (here && box.placing && !this->leaving.contains(box.box) && !taken.contains(box.box)) {
 			balance.have += box.cpu;
 			if (box.tasks == 0) {
--- a/tests/job_world.h
+++ b/tests/job_world.h
@@ -3,7 +3,7 @@
 #ifndef JOB_WORLD_H
 #define JOB_WORLD_H
 
-#include "node/job_desk.h"
+#include "node/job_api.h"
 #include "standin/memory/box_site.h"
 #include "standin/memory/keyed_store.h"
 #include "standin/memory/node_scheduler.h"
@@ -57,7 +57,10 @@
 	}
 
 	/** @return Whether the policy allows a box. @param life The box. */
-	static bool Allows(const BoxIncarnation &life) { return life.id.Value().find("box0") != std::string::npos; }
+	static bool Allows(const BoxIncarnation &incarnation)
+	{
+		return incarnation.id.Value().find("box0") != std::string::npos;
+	}
 
 	bool silent = false; ///< Whether it doesn't answer.
 	size_t asked = 0;    ///< Boxes that it was asked about.
@@ -247,7 +250,7 @@
 		for (int n = 0; n < count; n++) {
 			BoxReport report = this->site.Reports().front();
 			report.box = BoxName("calc-wide" + std::to_string(n));
-			report.life.id = BoxId(report.box.Value() + "-life0");
+			report.incarnation.id = BoxId(report.box.Value() + "-life0");
 			report.service = ServiceName("calc");
 			report.address = report.box.Value();
 			report.capacity = room;
@@ -263,7 +266,7 @@
 		std::set<BoxIncarnation> lives;
 		for (const BoxReport &report : this->site.Reports()) {
 			if (this->site.Down(report.box)) {
-				this->ended[report.life] = this->clock.Now();
+				this->ended[report.incarnation] = this->clock.Now();
 			}
 		}
 		std::ranges::copy(this->ended | std::views::keys, std::inserter(lives, lives.end()));
@@ -341,7 +344,7 @@
 	{
 		BoxReport report;
 		report.box = BoxName(service + "-box" + std::to_string(n));
-		report.life.id = BoxId(report.box.Value() + "-life0");
+		report.incarnation.id = BoxId(report.box.Value() + "-life0");
 		report.service = ServiceName(service);
 		report.address = report.box.Value();
 		report.capacity = Resources{8000, 8000, 0};
--- a/tests/owner/agent_site.cpp
+++ b/tests/owner/agent_site.cpp
@@ -81,7 +81,7 @@
 	std::vector<BoxReport> out;
 	for (size_t n = 0; n < this->boxes; n++) {
 		BoxReport report;
-		report.life.id = BoxId(LifeOf(n));
+		report.incarnation.id = BoxId(LifeOf(n));
 		report.box = BoxName("box" + std::to_string(n));
 		report.service = service;
 		report.address = "127.9." + std::to_string(n / BOXES_A_NET) + "." + std::to_string(n % BOXES_A_NET + 1) + ":" +
@@ -124,8 +124,8 @@
 
 std::shared_ptr<ServedRequest> AgentSite::Serve(CallerSink &sink, CallerRequest request)
 {
-	const std::string *life = request.headers.Find("X-Target-Instance");
-	const auto it = life == nullptr ? this->agents.end() : this->agents.find(*life);
+	const std::string *incarnation = request.headers.Find("X-Target-Instance");
+	const auto it = incarnation == nullptr ? this->agents.end() : this->agents.find(*incarnation);
 	if (it == this->agents.end()) {
 		Answer(sink, 421, "{}");
 		return nullptr;
--- a/tests/owner/main.cpp
+++ b/tests/owner/main.cpp
@@ -155,7 +155,7 @@
 		job.id = JobId(std::string(16 - digits.size(), 'a') + digits);
 		job.route = RouteName("r");
 		job.payload = std::string(100, 'p');
-		job.begun = this->scheduler.WallNow();
+		job.requested_at = this->scheduler.WallNow();
 		StepSpec step;
 		step.demand = DEMAND;
 		step.demand.cpu += int64_t{this->Between(0, 2 * DEMAND_SPREAD)} - DEMAND_SPREAD;
--- a/tests/soak/soak_boxes.cpp
+++ b/tests/soak/soak_boxes.cpp
@@ -48,10 +48,11 @@
 
 std::optional<BoxReport> SoakBoxes::BoxOf(const CallerRequest &request) const
 {
-	const std::string *life = request.headers.Find("X-Target-Instance");
+	const std::string *incarnation = request.headers.Find("X-Target-Instance");
 	const std::vector<BoxReport> all = this->site.Reports();
-	const auto it = std::ranges::find_if(
-			all, [life](const BoxReport &box) { return life != nullptr && box.life.id.Value() == *life; });
+	const auto it = std::ranges::find_if(all, [incarnation](const BoxReport &box) {
+		return incarnation != nullptr && box.incarnation.id.Value() == *incarnation;
+	});
 	return it == all.end() ? std::nullopt : std::optional(*it);
 }
 
@@ -125,7 +126,7 @@
 		return;
 	}
 	/* An answer that waits is gone with the life that took the call. */
-	if (this->site.Down(box.box) || this->site.LifeOf(box.box) != box.life) {
+	if (this->site.Down(box.box) || this->site.LifeOf(box.box) != box.incarnation) {
 		answer->Cut();
 		return;
 	}
@@ -139,7 +140,7 @@
 	}
 	int status = 0;
 	QJsonObject json = this->Written(box, seen.order, status);
-	json["born"] = static_cast<qint64>(box.life.started.Value());
+	json["born"] = static_cast<qint64>(box.incarnation.started.Value());
 	QJsonArray running;
 	for (const RunningRow &it : seen.running) {
 		running.append(QJsonArray{TextOf(FormatTaskId(it.task)), static_cast<qint64>(it.run.Value()), "",
@@ -173,7 +174,7 @@
 								{"state", down ? "down" : "up"},
 								{"zone", QString::fromStdString(it.zone.Value())},
 								{"capacity", QJsonObject{{"cpu", static_cast<qint64>(it.capacity.cpu)}}},
-								{"id", QString::fromStdString(down ? std::string() : it.life.id.Value())}});
+								{"id", QString::fromStdString(down ? std::string() : it.incarnation.id.Value())}});
 	}
 	answer->Answer(200, QJsonObject{{"machines", rows}});
 }
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -94,7 +94,7 @@
 			this->box_ways.back()->Start();
 			BoxReport report;
 			report.box = BoxName(std::string(service) + "-box" + std::to_string(n));
-			report.life.id = BoxId(report.box.Value() + "-life0");
+			report.incarnation.id = BoxId(report.box.Value() + "-life0");
 			report.service = ServiceName(service);
 			report.address = "127.0.0.1:" + std::to_string(this->box_ways.back()->serverPort());
 			report.zone = ZoneName("z" + std::to_string(n % 2));
@@ -122,10 +122,10 @@
 							   {"capacity", QJsonObject{{"cpu", static_cast<qint64>(it.capacity.cpu)},
 														{"mem-mb", static_cast<qint64>(it.capacity.memory)}}},
 							   {"labels", labels},
-							   {"born", static_cast<qint64>(it.life.started.Value())},
+							   {"born", static_cast<qint64>(it.incarnation.started.Value())},
 							   {"state", "ready"}};
-		records.push_back(KeyedRecord{it.life.id.Value(), BodyOf(json)});
-		now.insert(it.life.id.Value());
+		records.push_back(KeyedRecord{it.incarnation.id.Value(), BodyOf(json)});
+		now.insert(it.incarnation.id.Value());
 	}
 	for (const KeyedRecord &old : this->store.store.Newest(topic, {}).records) {
 		if (!now.contains(old.key)) {
--- a/tests/test_accounts.cpp
+++ b/tests/test_accounts.cpp
@@ -1,5 +1,5 @@
 /** @file test_accounts.cpp Callers' keys and whose jobs are whose. */
-#include "../platform/job_front.h"
+#include "../platform/job_handler.h"
 #include "../platform/platform_feed.h"
 #include "account/key_hash.h"
 #include "job_world.h"
--- a/tests/test_advice.cpp
+++ b/tests/test_advice.cpp
@@ -11,7 +11,7 @@
 struct AdvisedWorld : public JobWorld {
 	AdvisedWorld() : JobWorld(0)
 	{
-		this->config.routes[0].advised = true;
+		this->config.routes[0].needs_ticket = true;
 		this->site.ticket_holds = [this](const BoxReport &box, const StartOrder &order) {
 			return box.service != ServiceName("calc") || this->advisor.Holds(order);
 		};
--- a/tests/test_crashing_tasks.cpp
+++ b/tests/test_crashing_tasks.cpp
@@ -347,10 +347,10 @@
 	const WorldJob &job = world.Plan(Millis(2500), "calc", JobWorld::Chain(1), RUN_TIME);
 	world.TellEndedLives();
 	world.clock.RunUntil(CRASH_AT);
-	const BoxIncarnation life =
+	const BoxIncarnation incarnation =
 			std::as_const(world.OwnerOf(CALC)->host).Find(CALC)->Running()->Jobs().at(job.spec.id).tasks[0].box;
-	REQUIRE_FALSE(life.id.Value().empty());
-	world.site.Crash(BoxName(life.id.Value().substr(0, life.id.Value().find("-life"))));
+	REQUIRE_FALSE(incarnation.id.Value().empty());
+	world.site.Crash(BoxName(incarnation.id.Value().substr(0, incarnation.id.Value().find("-life"))));
 	world.clock.RunUntil(CRASH_AT + LISTED_WITHIN + RUN_TIME);
 	CHECK(std::as_const(world.OwnerOf(CALC)->host).Find(CALC)->Running()->Jobs().at(job.spec.id).tasks[0].phase ==
 		  TaskPhase::TP_DONE);
--- a/tests/test_fair_shares.cpp
+++ b/tests/test_fair_shares.cpp
@@ -64,7 +64,7 @@
 			step.estimate = RUN_TIME;
 			WorldJob &it = this->world.Plan(at, "calc", {step}, RUN_TIME);
 			it.spec.account = AccountName("account-" + std::to_string(n));
-			it.spec.begun = this->world.clock.WallNow() + at;
+			it.spec.requested_at = this->world.clock.WallNow() + at;
 			this->sent[n]++;
 			this->world.clock.After(at + OBJECTIVE, [this, n, &it] {
 				this->on_time[n] += this->world.ViewOf(it).phase == JobPhase::JP_COMPLETED ? 1 : 0;
--- a/tests/test_group.cpp
+++ b/tests/test_group.cpp
@@ -164,13 +164,13 @@
 	WorldNode *first = world.OwnerOf(ServiceName("calc"));
 	const BoxReport holding = HoldingBox(*first);
 	const BoxName dark = holding.box;
-	const BoxIncarnation life = holding.life;
+	const BoxIncarnation incarnation = holding.incarnation;
 	/* It dies, its report goes, it comes back under another life; and its owner dies before it has asked again. */
 	JobWorld::Kill(*first);
 	world.site.Restart(dark);
 	for (const auto &node : world.nodes) {
 		if (node->up) {
-			node->host.OnReportRemoved(life.id);
+			node->host.OnReportRemoved(incarnation.id);
 		}
 	}
 	world.clock.RunUntil(Millis(9000));
--- a/tests/test_job_matrix.cpp
+++ b/tests/test_job_matrix.cpp
@@ -263,7 +263,7 @@
 	REQUIRE(owner != nullptr);
 	Shard *shard = owner->host.Find(ServiceName("calc"))->Running();
 	std::vector<BoxName> holding;
-	for (const auto &[life, box] : shard->Boxes()) {
+	for (const auto &[incarnation, box] : shard->Boxes()) {
 		if (!box.placed.empty()) {
 			holding.push_back(box.report.box);
 		}
@@ -296,7 +296,7 @@
 		this->shard = owner->host.Find(ServiceName("calc"))->Running();
 		const auto holding =
 				std::ranges::find_if(this->shard->Boxes(), [](const auto &it) { return !it.second.placed.empty(); });
-		this->life = holding->first;
+		this->incarnation = holding->first;
 		this->box = holding->second.report.box;
 	}
 
@@ -304,14 +304,14 @@
 	void RemoveReport()
 	{
 		this->world.unlisted.insert(this->box);
-		EachNode(this->world, [this](WorldNode &it) { it.host.OnReportRemoved(this->life.id); });
+		EachNode(this->world, [this](WorldNode &it) { it.host.OnReportRemoved(this->incarnation.id); });
 	}
 
-	JobWorld world;         ///< The world.
-	const WorldJob &job;    ///< The job.
-	Shard *shard = nullptr; ///< The owner's shard.
-	BoxIncarnation life;    ///< Life of a box that runs one of the tasks.
-	BoxName box;            ///< Its box.
+	JobWorld world;             ///< The world.
+	const WorldJob &job;        ///< The job.
+	Shard *shard = nullptr;     ///< The owner's shard.
+	BoxIncarnation incarnation; ///< Life of a box that runs one of the tasks.
+	BoxName box;                ///< Its box.
 };
 
 } // namespace
@@ -321,7 +321,7 @@
 	LastingWorld it;
 	it.RemoveReport();
 	it.world.clock.RunUntil(Millis(5000));
-	CHECK(it.shard->Boxes().at(it.life).placed.empty());
+	CHECK(it.shard->Boxes().at(it.incarnation).placed.empty());
 	CHECK(it.world.site.Running(it.job.spec.id) == 3);
 	CHECK(it.world.site.violations == std::vector<std::string>{});
 }
--- a/tests/test_late_work.cpp
+++ b/tests/test_late_work.cpp
@@ -12,10 +12,10 @@
 	for (const char *pool : {"late", "turn"}) {
 		for (int n = 0; n < 10; n++) {
 			const std::string name = pool + std::to_string(n);
-			const BoxIncarnation life{BoxId(name + "-1"), Millis(1)};
+			const BoxIncarnation incarnation{BoxId(name + "-1"), Millis(1)};
 			view.machines.push_back(MachineRow{BoxName(name), ServiceName(pool), MachineState::MS_UP, ZoneName("z"),
-											   Resources{CPU, 1000, 0}, life.id});
-			view.pools[ServiceName(pool)].boxes.push_back(PoolBox{BoxName(name), life, 4, CPU, CPU, true});
+											   Resources{CPU, 1000, 0}, incarnation.id});
+			view.pools[ServiceName(pool)].boxes.push_back(PoolBox{BoxName(name), incarnation, 4, CPU, CPU, true});
 		}
 	}
 	PoolStatus &late = view.pools[ServiceName("late")];
--- a/tests/test_life_watch.cpp
+++ b/tests/test_life_watch.cpp
@@ -11,9 +11,9 @@
 const ServiceName CALC("calc");
 const ServiceName GRID("grid");
 
-MachineRow Row(const std::string &life, MachineState state = MachineState::MS_UP, const ServiceName &pool = CALC)
+MachineRow Row(const std::string &incarnation, MachineState state = MachineState::MS_UP, const ServiceName &pool = CALC)
 {
-	return MachineRow{BoxName("m0"), pool, state, ZoneName("z"), Resources{8000, 8000, 0}, BoxId(life)};
+	return MachineRow{BoxName("m0"), pool, state, ZoneName("z"), Resources{8000, 8000, 0}, BoxId(incarnation)};
 }
 
 BoxIncarnation Life(const std::string &id, int64_t born = 1)
--- a/tests/test_other_writer.cpp
+++ b/tests/test_other_writer.cpp
@@ -63,7 +63,7 @@
 public:
 	void OnConfig(const JobConfig &) override {}
 	void OnWave(const WaveOrder &) override {}
-	void OnReport(const BoxReport &report) override { this->lives.insert(report.life.id.Value()); }
+	void OnReport(const BoxReport &report) override { this->lives.insert(report.incarnation.id.Value()); }
 	void OnReportRemoved(const BoxId &id) override { this->lives.erase(id.Value()); }
 
 	std::set<std::string> lives; ///< Them.
@@ -120,8 +120,8 @@
 	PlatformFeed feed(clock, log, events);
 	feed.Start(seen);
 	feed.WatchBoxes(true);
-	const auto write = [&](const char *life, const std::string &bytes) {
-		store.Append(REPORTS, {KeyedRecord{life, bytes}}, AppendCondition{});
+	const auto write = [&](const char *incarnation, const std::string &bytes) {
+		store.Append(REPORTS, {KeyedRecord{incarnation, bytes}}, AppendCondition{});
 		clock.RunUntil(clock.Now() + Millis(1000));
 	};
 	/* Before the first page, and behind it. */
--- a/tests/test_owner_work.cpp
+++ b/tests/test_owner_work.cpp
@@ -60,7 +60,7 @@
 	}
 	/* The order that tells them waits up to a second for another end. */
 	world.clock.RunUntil(Millis(4500));
-	for (const auto &[life, box] : shard->Boxes()) {
+	for (const auto &[incarnation, box] : shard->Boxes()) {
 		CHECK(box.ends_told == box.ends_seen);
 	}
 }
@@ -113,11 +113,11 @@
 	reply.result = CallResult::CR_ANSWERED;
 	reply.status = 200;
 	reply.body = R"({"clock-ms":12,"born":1700000009000,"running":[],"finished":[]})";
-	CHECK(ReadLeaseAnswer(reply, ASKED).order.life == BoxIncarnation{ASKED.id, Millis(1700000009000)});
+	CHECK(ReadLeaseAnswer(reply, ASKED).order.incarnation == BoxIncarnation{ASKED.id, Millis(1700000009000)});
 	/* A box that reports no start is known by its id alone. */
-	CHECK_FALSE(ReadLeaseAnswer(reply, BoxIncarnation{ASKED.id, Millis(0)}).order.life);
+	CHECK_FALSE(ReadLeaseAnswer(reply, BoxIncarnation{ASKED.id, Millis(0)}).order.incarnation);
 	reply.body = R"({"clock-ms":12,"running":[],"finished":[]})";
-	CHECK_FALSE(ReadLeaseAnswer(reply, ASKED).order.life);
+	CHECK_FALSE(ReadLeaseAnswer(reply, ASKED).order.incarnation);
 }
 
 TEST_CASE("a list of more rows than the parser's room holds is read whole")
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -1,5 +1,5 @@
 /** @file test_platform.cpp The adapter: the platform's messages decoded into the project's types, and records kept. */
-#include "../platform/job_front.h"
+#include "../platform/job_handler.h"
 #include "../platform/platform_feed.h"
 #include "job_world.h"
 #include "jobs/job_codec.h"
@@ -49,7 +49,7 @@
 	CHECK(report->leaving);
 	CHECK(report->time_left == Millis(900));
 	CHECK(report->rack == RackName("r1-3"));
-	CHECK(report->life == BoxIncarnation{BoxId("i-1"), Millis(0)});
+	CHECK(report->incarnation == BoxIncarnation{BoxId("i-1"), Millis(0)});
 	CHECK(!DecodeReport(BoxId("i-1"), "{}"));
 }
 
@@ -62,7 +62,7 @@
 	};
 	const std::optional<BoxReport> report = DecodeReport(BoxId("i-1"), bytes("1700000000123"));
 	REQUIRE(report);
-	CHECK(report->life == BoxIncarnation{BoxId("i-1"), Millis(1700000000123)});
+	CHECK(report->incarnation == BoxIncarnation{BoxId("i-1"), Millis(1700000000123)});
 	CHECK(ReportContentHash(bytes("1700000000123")) != ReportContentHash(bytes("1700000000124")));
 	for (const char *born : {"\"x\"", "-1", "1.5", "null", "[]"}) {
 		CHECK_FALSE(DecodeReport(BoxId("i-1"), bytes(born)));
@@ -111,7 +111,7 @@
 	JobSpec spec =
 			ParseJob(JobId("0011223344556677"), R"({"spec":"t","steps":[{"count":2,"cpu":5,"may_miss":0}]})").spec;
 	spec.route = RouteName("r");
-	spec.begun = Millis(17);
+	spec.requested_at = Millis(17);
 	CHECK(DecodeSubmission(spec.id, EncodeSubmission(spec)) == spec);
 	StoredProgress progress;
 	progress.phase = JobPhase::JP_RUNNING;
@@ -256,6 +256,6 @@
 	REQUIRE(first.status == 200);
 	REQUIRE(again.status == 200);
 	const auto &jobs = node.host.Find(ServiceName("calc"))->Running()->Jobs();
-	CHECK(jobs.at(JobId("00112233445566aa")).spec.begun == now);
-	CHECK(jobs.at(JobId("00112233445566bb")).spec.begun == now - Millis(1800));
+	CHECK(jobs.at(JobId("00112233445566aa")).spec.requested_at == now);
+	CHECK(jobs.at(JobId("00112233445566bb")).spec.requested_at == now - Millis(1800));
 }
--- a/tests/test_upkeep.cpp
+++ b/tests/test_upkeep.cpp
@@ -39,11 +39,11 @@
 
 	void Add(const std::string &box, const std::string &pool)
 	{
-		const BoxIncarnation life{BoxId(box + "-1"), Millis(1)};
+		const BoxIncarnation incarnation{BoxId(box + "-1"), Millis(1)};
 		this->view.machines.push_back(MachineRow{BoxName(box), ServiceName(pool), MachineState::MS_UP, ZoneName("z"),
-												 Resources{CPU, 1000, 0}, life.id});
+												 Resources{CPU, 1000, 0}, incarnation.id});
 		if (pool != "off") {
-			this->view.pools[ServiceName(pool)].boxes.push_back(PoolBox{BoxName(box), life, 0, 0, CPU, true});
+			this->view.pools[ServiceName(pool)].boxes.push_back(PoolBox{BoxName(box), incarnation, 0, 0, CPU, true});
 		}
 	}
 };
