--- a/src/bench/holder_bench.cpp
+++ b/src/bench/holder_bench.cpp
@@ -1,7 +1,7 @@
 /** @file holder_bench.cpp One look of the fleet's holder: a wave over half of the boxes, and moves between pools. */
 #include "bench_output.h"
 
-#include "../upkeep/pool_desk.h"
+#include "../upkeep/pool_balancer.h"
 
 #include <array>
 #include <chrono>
--- a/src/upkeep/fleet_owner.cpp
+++ b/src/upkeep/fleet_owner.cpp
@@ -189,7 +189,7 @@
 	if (code == ResultCode::RC_OK) {
 		this->view.machines = rows;
 		/* Their owners hear of ended lives at once: what ran there waits for it. */
-		for (const ServiceName &pool : this->lives.Take(rows, this->parts.scheduler.Now())) {
+		for (const ServiceName &pool : this->lives.Update(rows, this->parts.scheduler.Now())) {
 			this->parts.pools.Ask(pool, this->RequestFor(pool), [](const std::optional<PoolStatus> &) {
 				/* The next look asks again. */
 			});
@@ -338,7 +338,7 @@
 				if (still.expired()) {
 					return;
 				}
-				this->movers.Answered(move, from, outcome);
+				this->movers.RecordOutcome(move, from, outcome);
 				if (outcome != ControlOutcome::CO_DONE) {
 					this->parts.events.Write("not_moved", {{"box", move.box.Value()},
 														   {"outcome", std::to_string(static_cast<int>(outcome))}});
@@ -367,7 +367,7 @@
 
 void FleetOwner::OnMaintained(const BoxName &box, uint64_t wave, ControlOutcome outcome)
 {
-	this->desk.Answered(box, wave, outcome);
+	this->desk.RecordOutcome(box, wave, outcome);
 	if (outcome == ControlOutcome::CO_DONE) {
 		this->journal->Append({KeyedRecord{KeyOf(wave, box), std::string("1")}}, [] {
 			/* Nothing waits for it: without the record, the next owner only asks once more. */
--- a/src/upkeep/fleet_owner.h
+++ b/src/upkeep/fleet_owner.h
@@ -5,10 +5,10 @@
 
 #include "../account/share_ledger.h"
 #include "../store/partition_claim.h"
-#include "life_watch.h"
-#include "pool_desk.h"
-#include "turn_log.h"
-#include "wave_desk.h"
+#include "incarnation_tracker.h"
+#include "order_log.h"
+#include "pool_balancer.h"
+#include "wave_planner.h"
 
 /** What the owner of a pool is told with a question. */
 struct PoolRequest {
--- a/src/upkeep/life_watch.cpp
+++ b/src/upkeep/incarnation_tracker.cpp
@@ -1,5 +1,5 @@
-/** @file life_watch.cpp Which lives of boxes have ended. */
-#include "life_watch.h"
+/** @file incarnation_tracker.cpp Which lives of boxes have ended. */
+#include "incarnation_tracker.h"
 
 #include <algorithm>
 #include <ranges>
@@ -21,7 +21,7 @@
 	}
 }
 
-std::set<ServiceName> IncarnationTracker::Take(const std::vector<MachineRow> &rows, Millis now)
+std::set<ServiceName> IncarnationTracker::Update(const std::vector<MachineRow> &rows, Millis now)
 {
 	std::erase_if(this->ended, [now](const Ended &it) { return now - it.at > TOLD_FOR; });
 	std::set<ServiceName> fresh;
--- a/src/upkeep/life_watch.h
+++ b/src/upkeep/incarnation_tracker.h
@@ -1,6 +1,6 @@
-/** @file life_watch.h Which lives of boxes have ended, by what the machines' control lists. */
-#ifndef LIFE_WATCH_H
-#define LIFE_WATCH_H
+/** @file incarnation_tracker.h Which lives of boxes have ended, by what the machines' control lists. */
+#ifndef INCARNATION_TRACKER_H
+#define INCARNATION_TRACKER_H
 
 #include "../jobs/shard_type.h"
 #include "machine_control.h"
@@ -20,7 +20,7 @@
 	void RecordKnown(const std::map<ServiceName, PoolStatus> &pools);
 	/** Takes a list. @param rows The machines, asked for after the list before was answered. @param now The time.
 	 * @return Pools of the lives that have ended since. */
-	std::set<ServiceName> Take(const std::vector<MachineRow> &rows, Millis now);
+	std::set<ServiceName> Update(const std::vector<MachineRow> &rows, Millis now);
 	/** @return Lives of a pool that have ended lately. @param pool The pool. */
 	[[nodiscard]] std::set<BoxIncarnation> EndedIn(const ServiceName &pool) const;
 
@@ -44,4 +44,4 @@
 	std::vector<Ended> ended; ///< Lives that have ended lately.
 };
 
-#endif /* LIFE_WATCH_H */
+#endif /* INCARNATION_TRACKER_H */
--- a/src/upkeep/turn_log.cpp
+++ b/src/upkeep/order_log.cpp
@@ -1,5 +1,5 @@
-/** @file turn_log.cpp Boxes with recent orders. */
-#include "turn_log.h"
+/** @file order_log.cpp Boxes with recent orders. */
+#include "order_log.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/upkeep/turn_log.h
+++ b/src/upkeep/order_log.h
@@ -1,7 +1,7 @@
-/** @file turn_log.h Which boxes have had orders a moment ago, as the log tells the next holder of the fleet's orders.
+/** @file order_log.h Which boxes have had orders a moment ago, as the log tells the next holder of the fleet's orders.
  * Pure. */
-#ifndef TURN_LOG_H
-#define TURN_LOG_H
+#ifndef ORDER_LOG_H
+#define ORDER_LOG_H
 
 #include "../store/keyed_log.h"
 
@@ -44,4 +44,4 @@
 	std::map<BoxName, Turn> turns; ///< Boxes that have a record.
 };
 
-#endif /* TURN_LOG_H */
+#endif /* ORDER_LOG_H */
--- a/src/upkeep/pool_desk.cpp
+++ b/src/upkeep/pool_balancer.cpp
@@ -1,5 +1,5 @@
-/** @file pool_desk.cpp Moves of boxes between pools and the reserve. */
-#include "pool_desk.h"
+/** @file pool_balancer.cpp Moves of boxes between pools and the reserve. */
+#include "pool_balancer.h"
 
 #include <algorithm>
 #include <ranges>
@@ -222,7 +222,7 @@
 	this->leaving[move.box] = Leaving{move.to, now, true};
 }
 
-void PoolBalancer::Answered(const PoolMove &move, const ServiceName &from, ControlOutcome outcome)
+void PoolBalancer::RecordOutcome(const PoolMove &move, const ServiceName &from, ControlOutcome outcome)
 {
 	if (outcome == ControlOutcome::CO_REJECTED) {
 		this->refused.emplace(from, move.to);
--- a/src/upkeep/pool_desk.h
+++ b/src/upkeep/pool_balancer.h
@@ -1,9 +1,10 @@
-/** @file pool_desk.h Moves of boxes between pools and the reserve, by what their jobs ask for. Pure: it only decides.
+/** @file pool_balancer.h Moves of boxes between pools and the reserve, by what their jobs ask for. Pure: it only
+ * decides.
  */
-#ifndef POOL_DESK_H
-#define POOL_DESK_H
+#ifndef POOL_BALANCER_H
+#define POOL_BALANCER_H
 
-#include "wave_desk.h"
+#include "wave_planner.h"
 
 #include <deque>
 
@@ -44,7 +45,7 @@
 	/** An order is about to leave. @param move It. @param now The time. */
 	void RecordOrder(const PoolMove &move, Millis now);
 	/** An order has ended. @param move It. @param from Pool before. @param outcome How. */
-	void Answered(const PoolMove &move, const ServiceName &from, ControlOutcome outcome);
+	void RecordOutcome(const PoolMove &move, const ServiceName &from, ControlOutcome outcome);
 
 	/** @return Boxes that are being emptied or moved. */
 	[[nodiscard]] std::set<BoxName> Taken() const;
@@ -105,4 +106,4 @@
 	void Choose(const BoxName &box, const ServiceName &to, Millis now);
 };
 
-#endif /* POOL_DESK_H */
+#endif /* POOL_BALANCER_H */
--- a/src/upkeep/wave_desk.cpp
+++ b/src/upkeep/wave_planner.cpp
@@ -1,5 +1,5 @@
-/** @file wave_desk.cpp Maintenance waves: which box is emptied and taken down next. */
-#include "wave_desk.h"
+/** @file wave_planner.cpp Maintenance waves: which box is emptied and taken down next. */
+#include "wave_planner.h"
 
 #include <algorithm>
 #include <ranges>
@@ -178,7 +178,7 @@
 	this->down[box] = Down{wave, id, now, false};
 }
 
-void WavePlanner::Answered(const BoxName &box, uint64_t wave, ControlOutcome outcome)
+void WavePlanner::RecordOutcome(const BoxName &box, uint64_t wave, ControlOutcome outcome)
 {
 	switch (outcome) {
 	case ControlOutcome::CO_DONE:
--- a/src/upkeep/wave_desk.h
+++ b/src/upkeep/wave_planner.h
@@ -1,6 +1,6 @@
-/** @file wave_desk.h Maintenance waves: which box is emptied and taken down next. Pure: it only decides. */
-#ifndef WAVE_DESK_H
-#define WAVE_DESK_H
+/** @file wave_planner.h Maintenance waves: which box is emptied and taken down next. Pure: it only decides. */
+#ifndef WAVE_PLANNER_H
+#define WAVE_PLANNER_H
 
 #include "../jobs/shard_base.h"
 #include "../jobs/site_feed.h"
@@ -40,7 +40,7 @@
 	 * time. */
 	void RecordOrder(const BoxName &box, uint64_t wave, const BoxId &id, Millis now);
 	/** An order has ended. @param box The box. @param wave Its wave. @param outcome How. */
-	void Answered(const BoxName &box, uint64_t wave, ControlOutcome outcome);
+	void RecordOutcome(const BoxName &box, uint64_t wave, ControlOutcome outcome);
 	/** A wave was reported as completed. @param wave The wave. */
 	void MarkReported(uint64_t wave) { this->completed.insert(wave); }
 
@@ -85,4 +85,4 @@
 	[[nodiscard]] std::map<ServiceName, size_t> TakenByPool(const FleetIndex &index) const;
 };
 
-#endif /* WAVE_DESK_H */
+#endif /* WAVE_PLANNER_H */
--- a/tests/test_life_watch.cpp
+++ b/tests/test_incarnation_tracker.cpp
@@ -1,5 +1,5 @@
-/** @file test_life_watch.cpp Lives of boxes that have ended, told from lists of machines. */
-#include "upkeep/life_watch.h"
+/** @file test_incarnation_tracker.cpp Lives of boxes that have ended, told from lists of machines. */
+#include "upkeep/incarnation_tracker.h"
 
 #include <doctest/doctest.h>
 
@@ -36,14 +36,14 @@
 {
 	IncarnationTracker lives;
 	lives.RecordKnown(Known({Life("a"), Life("b")}));
-	CHECK(lives.Take({Row("a")}, Millis(0)).empty());
-	CHECK(lives.Take({Row("a")}, Millis(200)).empty());
-	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(400)) == std::set{CALC});
+	CHECK(lives.Update({Row("a")}, Millis(0)).empty());
+	CHECK(lives.Update({Row("a")}, Millis(200)).empty());
+	CHECK(lives.Update({Row("", MachineState::MS_DOWN)}, Millis(400)) == std::set{CALC});
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a")});
 	CHECK(lives.EndedIn(GRID).empty());
-	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(600)).empty());
-	CHECK(lives.Take({Row("b")}, Millis(800)).empty());
-	CHECK(lives.Take({Row("c")}, Millis(1000)) == std::set{CALC});
+	CHECK(lives.Update({Row("", MachineState::MS_DOWN)}, Millis(600)).empty());
+	CHECK(lives.Update({Row("b")}, Millis(800)).empty());
+	CHECK(lives.Update({Row("c")}, Millis(1000)) == std::set{CALC});
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a"), Life("b")});
 }
 
@@ -51,13 +51,13 @@
 {
 	IncarnationTracker lives;
 	lives.RecordKnown(Known({Life("a")}));
-	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(0)).empty());
-	CHECK(lives.Take({Row("a")}, Millis(200)).empty());
-	CHECK(lives.Take({}, Millis(400)).empty());
-	CHECK(lives.Take({Row("")}, Millis(600)).empty());
-	CHECK(lives.Take({Row("", MachineState::MS_MOVING)}, Millis(800)).empty());
+	CHECK(lives.Update({Row("", MachineState::MS_DOWN)}, Millis(0)).empty());
+	CHECK(lives.Update({Row("a")}, Millis(200)).empty());
+	CHECK(lives.Update({}, Millis(400)).empty());
+	CHECK(lives.Update({Row("")}, Millis(600)).empty());
+	CHECK(lives.Update({Row("", MachineState::MS_MOVING)}, Millis(800)).empty());
 	CHECK(lives.EndedIn(CALC).empty());
-	CHECK(lives.Take({Row("a", MachineState::MS_UP)}, Millis(1000)).empty());
+	CHECK(lives.Update({Row("a", MachineState::MS_UP)}, Millis(1000)).empty());
 	CHECK(lives.EndedIn(CALC).empty());
 }
 
@@ -65,10 +65,10 @@
 {
 	IncarnationTracker lives;
 	lives.RecordKnown(Known({Life("a")}));
-	lives.Take({Row("a")}, Millis(0));
-	CHECK(lives.Take({Row("b", MachineState::MS_UP, GRID)}, Millis(200)) == std::set{CALC});
+	lives.Update({Row("a")}, Millis(0));
+	CHECK(lives.Update({Row("b", MachineState::MS_UP, GRID)}, Millis(200)) == std::set{CALC});
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a")});
-	lives.Take({Row("b", MachineState::MS_UP, GRID)}, Millis(60000));
+	lives.Update({Row("b", MachineState::MS_UP, GRID)}, Millis(60000));
 	CHECK(lives.EndedIn(CALC).empty());
 }
 
@@ -76,14 +76,14 @@
 {
 	IncarnationTracker lives;
 	lives.RecordKnown(Known({Life("a", 100)}));
-	lives.Take({Row("a")}, Millis(0));
-	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(200)) == std::set{CALC});
+	lives.Update({Row("a")}, Millis(0));
+	CHECK(lives.Update({Row("", MachineState::MS_DOWN)}, Millis(200)) == std::set{CALC});
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a", 100)});
 	/* It is back under its id: what is told of for some seconds is not the life that runs now. */
 	lives.RecordKnown(Known({Life("a", 350)}));
-	CHECK(lives.Take({Row("a")}, Millis(400)).empty());
+	CHECK(lives.Update({Row("a")}, Millis(400)).empty());
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a", 100)});
-	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(600)) == std::set{CALC});
+	CHECK(lives.Update({Row("", MachineState::MS_DOWN)}, Millis(600)) == std::set{CALC});
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a", 100), Life("a", 350)});
 }
 
@@ -91,16 +91,16 @@
 {
 	IncarnationTracker lives;
 	lives.RecordKnown(Known({Life("a", 100)}));
-	lives.Take({Row("a")}, Millis(0));
+	lives.Update({Row("a")}, Millis(0));
 	lives.RecordKnown({});
-	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(200)) == std::set{CALC});
+	CHECK(lives.Update({Row("", MachineState::MS_DOWN)}, Millis(200)) == std::set{CALC});
 	CHECK(lives.EndedIn(CALC) == std::set{Life("a", 100)});
 }
 
 TEST_CASE("a life that no owner has told of is not told to have ended")
 {
 	IncarnationTracker lives;
-	lives.Take({Row("a")}, Millis(0));
-	CHECK(lives.Take({Row("", MachineState::MS_DOWN)}, Millis(200)).empty());
+	lives.Update({Row("a")}, Millis(0));
+	CHECK(lives.Update({Row("", MachineState::MS_DOWN)}, Millis(200)).empty());
 	CHECK(lives.EndedIn(CALC).empty());
 }
--- a/tests/test_late_work.cpp
+++ b/tests/test_late_work.cpp
@@ -1,5 +1,5 @@
 /** @file test_late_work.cpp Boxes while one queue works off what can't be on time any more. */
-#include "upkeep/pool_desk.h"
+#include "upkeep/pool_balancer.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/test_upkeep.cpp
+++ b/tests/test_upkeep.cpp
@@ -1,6 +1,6 @@
 /** @file test_upkeep.cpp Waves and moves: what is decided from a view of the fleet. */
-#include "upkeep/pool_desk.h"
-#include "upkeep/wave_desk.h"
+#include "upkeep/pool_balancer.h"
+#include "upkeep/wave_planner.h"
 
 #include <doctest/doctest.h>
 
@@ -69,7 +69,7 @@
 	CHECK(first.maintain == std::vector<std::pair<BoxName, uint64_t>>{{BoxName("o0"), 1}});
 	CHECK(first.drain.size() == 2); /* o0 and one more */
 	desk.RecordOrder(BoxName("o0"), 1, BoxId("o0-1"), Millis(0));
-	desk.Answered(BoxName("o0"), 1, ControlOutcome::CO_DONE);
+	desk.RecordOutcome(BoxName("o0"), 1, ControlOutcome::CO_DONE);
 	/* While o0 is down, only one other may go. */
 	maker.Row("o0").state = MachineState::MS_MAINTENANCE;
 	const WaveActions second = desk.Decide(maker.view, Millis(200));
@@ -100,9 +100,9 @@
 	desk.Restore(1, BoxName("a0"));
 	CHECK(desk.Decide(maker.view, Millis(0)).completed.empty());
 	desk.RecordOrder(BoxName("a1"), 1, BoxId("a1-1"), Millis(0));
-	desk.Answered(BoxName("a1"), 1, ControlOutcome::CO_UNKNOWN);
+	desk.RecordOutcome(BoxName("a1"), 1, ControlOutcome::CO_UNKNOWN);
 	CHECK(desk.Decide(maker.view, Millis(200)).completed.empty());
-	desk.Answered(BoxName("a1"), 1, ControlOutcome::CO_DONE);
+	desk.RecordOutcome(BoxName("a1"), 1, ControlOutcome::CO_DONE);
 	CHECK(desk.Decide(maker.view, Millis(400)).completed == std::vector<uint64_t>{1});
 	desk.MarkReported(1);
 	CHECK(!desk.Active());
@@ -115,7 +115,7 @@
 	desk.Add(OrderOf({"o0"}, 1), Millis(0));
 	desk.Decide(maker.view, Millis(0));
 	desk.RecordOrder(BoxName("o0"), 1, BoxId("o0-1"), Millis(0));
-	desk.Answered(BoxName("o0"), 1, ControlOutcome::CO_UNKNOWN);
+	desk.RecordOutcome(BoxName("o0"), 1, ControlOutcome::CO_UNKNOWN);
 	CHECK(desk.Decide(maker.view, Millis(2000)).maintain.empty());
 	CHECK(desk.Decide(maker.view, Millis(9000)).maintain.size() == 1);
 }
@@ -129,7 +129,7 @@
 	REQUIRE(first.drain.at(ServiceName("a")).size() == 1);
 	const BoxName box = *first.drain.at(ServiceName("a")).begin();
 	desk.RecordOrder(box, 1, BoxId(box.Value() + "-1"), Millis(0));
-	desk.Answered(box, 1, ControlOutcome::CO_DONE);
+	desk.RecordOutcome(box, 1, ControlOutcome::CO_DONE);
 	/* Not seen down yet: it may be the list that is old. */
 	CHECK_FALSE(desk.Decide(maker.view, Millis(200)).drain.contains(ServiceName("a")));
 	maker.Row(box.Value()).state = MachineState::MS_MAINTENANCE;
@@ -168,7 +168,7 @@
 	CHECK(std::ranges::count(first.moves, BoxName("o0"), &PoolMove::box) == 0);
 	const PoolMove move{BoxName("o1"), ServiceName("a")};
 	desk.RecordOrder(move, Millis(0));
-	desk.Answered(move, ServiceName("off"), ControlOutcome::CO_REJECTED);
+	desk.RecordOutcome(move, ServiceName("off"), ControlOutcome::CO_REJECTED);
 	const PoolActions second = desk.Decide(maker.view, {}, Millis(200));
 	CHECK(std::ranges::count(second.moves, BoxName("o1"), &PoolMove::box) == 0);
 }
