--- a/src/account/account_book.cpp
+++ b/src/account/account_book.cpp
@@ -139,7 +139,7 @@
 	return part;
 }
 
-void AccountBook::Take(const ShareLoan &loan)
+void AccountBook::ApplyLoan(const ShareLoan &loan)
 {
 	if (std::tuple(loan.ledger_epoch, loan.sequence) < std::tuple(this->ledger_epoch, this->sequence)) {
 		return;
--- a/src/account/account_book.h
+++ b/src/account/account_book.h
@@ -57,7 +57,7 @@
 	[[nodiscard]] double FittingFraction(const AccountName &account, const Resources &ready) const;
 
 	/** Takes what the ledger lends. @param loan It; ignored when a newer one was taken. */
-	void Take(const ShareLoan &loan);
+	void ApplyLoan(const ShareLoan &loan);
 	/** Says what is held and wanted. @param ready What tasks whose turn has come ask for, by account. @return All but
 	 * the owner's epoch. */
 	ShareReport Report(const std::map<AccountName, Resources> &ready);
--- a/src/account/key_check.cpp
+++ b/src/account/key_check.cpp
@@ -31,7 +31,7 @@
 	}
 }
 
-void KeyCheck::Ask(const KeyHash &key, Done done)
+void KeyCheck::Check(const KeyHash &key, Done done)
 {
 	this->DropOld();
 	const bool known = this->Find(key) != nullptr;
--- a/src/account/key_check.h
+++ b/src/account/key_check.h
@@ -43,10 +43,10 @@
 	/** Finds out whether a key is known. @param key The key. @param done Gets the verdict, perhaps from inside the
 	 * call.
 	 */
-	void Ask(const KeyHash &key, Done done);
+	void Check(const KeyHash &key, Done done);
 
 	/** @return Questions asked. */
-	[[nodiscard]] uint64_t Questions() const { return this->questions; }
+	[[nodiscard]] uint64_t Confirmations() const { return this->questions; }
 
 private:
 	/** A caller who waits. */
--- a/src/account/refusal_log.cpp
+++ b/src/account/refusal_log.cpp
@@ -9,7 +9,7 @@
 
 } // namespace
 
-void RefusalLog::Note(ResultCode code, const AccountName &account, uint64_t version, Millis age)
+void RefusalLog::Count(ResultCode code, const AccountName &account, uint64_t version, Millis age)
 {
 	if (this->rows.empty()) {
 		this->scheduler.After(WRITE_EVERY, [this, still = std::weak_ptr<bool>(this->alive)] {
--- a/src/account/refusal_log.h
+++ b/src/account/refusal_log.h
@@ -19,7 +19,7 @@
 
 	/** Counts one. @param code Why. @param account Whose caller; empty when that isn't known. @param version Version of
 	 * the configuration that decided. @param age Time since that was known to be the newest. */
-	void Note(ResultCode code, const AccountName &account, uint64_t version, Millis age);
+	void Count(ResultCode code, const AccountName &account, uint64_t version, Millis age);
 
 	/** @return Refusals so far, by reason. */
 	[[nodiscard]] const std::map<ResultCode, uint64_t> &Totals() const { return this->totals; }
--- a/src/account/share_ledger.cpp
+++ b/src/account/share_ledger.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-bool ShareLedger::Owns(const std::string &key)
+bool ShareLedger::IsLedgerKey(const std::string &key)
 {
 	return key.starts_with(PREFIX);
 }
@@ -39,7 +39,7 @@
 	return true;
 }
 
-void ShareLedger::Take(const ServiceName &service, const ShareReport &report)
+void ShareLedger::ApplyReport(const ServiceName &service, const ShareReport &report)
 {
 	Owner &owner = this->owners[service];
 	if (report.owner_epoch < owner.epoch) {
--- a/src/account/share_ledger.h
+++ b/src/account/share_ledger.h
@@ -16,7 +16,7 @@
 class ShareLedger {
 public:
 	/** @return Whether a record's key is one of these. @param key The key. */
-	static bool Owns(const std::string &key);
+	static bool IsLedgerKey(const std::string &key);
 	/** Takes over a record of an earlier owner; of two records of an account, the higher parts count. @param key Its
 	 * key. @param value Its value. @return Whether it could be read. */
 	bool Restore(const std::string &key, const std::string &value);
@@ -27,7 +27,7 @@
 
 	/** Takes what a service's owner says. What was said before the newest grants were taken lowers nothing. @param
 	 * service The service. @param report It. */
-	void Take(const ServiceName &service, const ShareReport &report);
+	void ApplyReport(const ServiceName &service, const ShareReport &report);
 	/** Decides anew who may use what. @return What is to be recorded before Commit(). */
 	std::vector<KeyedRecord> Decide();
 	/** What was decided is recorded: from now on it is lent. */
--- a/src/jobs/shard_drain.cpp
+++ b/src/jobs/shard_drain.cpp
@@ -132,7 +132,7 @@
 
 void Shard::TakeLoan(const ShareLoan &loan)
 {
-	this->book.Take(loan);
+	this->book.ApplyLoan(loan);
 	if (!loan.grants.empty()) {
 		this->Wake();
 	}
--- a/src/upkeep/fleet_owner.cpp
+++ b/src/upkeep/fleet_owner.cpp
@@ -68,7 +68,7 @@
 		this->turns.RestoreOrder(key, value, this->parts.scheduler.Now());
 		return;
 	}
-	if (ShareLedger::Owns(key)) {
+	if (ShareLedger::IsLedgerKey(key)) {
 		if (!this->ledger.Restore(key, value)) {
 			this->parts.events.Write("bad_record", {{"topic", FLEET.topic}, {"key", key}});
 		}
@@ -170,7 +170,7 @@
 									  return;
 								  }
 								  if (status) {
-									  this->ledger.Take(name, status->shares);
+									  this->ledger.ApplyReport(name, status->shares);
 									  this->view.pools[name] = *status;
 								  }
 								  this->Answered();
--- a/tests/test_accounts.cpp
+++ b/tests/test_accounts.cpp
@@ -205,7 +205,7 @@
 		clock.After(Millis(n), [&, n] {
 			/* Half of the callers come with the same bad key, half with a fresh one each. */
 			const KeyHash key = HashKey(n % 2 == 0 ? KEY_BAD : "bad-" + std::to_string(n));
-			keys.Ask(key, [&](KeyVerdict it) { refused += it == KeyVerdict::KV_UNKNOWN ? 1 : 0; });
+			keys.Check(key, [&](KeyVerdict it) { refused += it == KeyVerdict::KV_UNKNOWN ? 1 : 0; });
 			CHECK(keys.Find(HashKey(KEY_A)) != nullptr);
 		});
 	}
@@ -222,10 +222,10 @@
 	KeyCheck keys(
 			clock, [&] { return accounts; }, [&](const std::function<void(bool)> &done) { done(true); });
 	KeyVerdict verdict = KeyVerdict::KV_KNOWN;
-	keys.Ask(HashKey(KEY_B), [&](KeyVerdict it) { verdict = it; });
+	keys.Check(HashKey(KEY_B), [&](KeyVerdict it) { verdict = it; });
 	CHECK(verdict == KeyVerdict::KV_UNKNOWN);
 	accounts = Accounts({{"oyo", KEY_B}});
-	keys.Ask(HashKey(KEY_B), [&](KeyVerdict it) { verdict = it; });
+	keys.Check(HashKey(KEY_B), [&](KeyVerdict it) { verdict = it; });
 	CHECK(verdict == KeyVerdict::KV_KNOWN);
 }
 
--- a/tests/test_shares.cpp
+++ b/tests/test_shares.cpp
@@ -196,7 +196,7 @@
 	void OnLoan(size_t n, const ShareLoan &loan)
 	{
 		Service &service = this->services[n];
-		service.book.Take(loan);
+		service.book.ApplyLoan(loan);
 		std::map<AccountName, Resources> ready;
 		for (const ClientAccount &account : this->accounts->All()) {
 			const int64_t waiting = this->Wanted(n) - service.running[account.name];
@@ -204,7 +204,8 @@
 		}
 		ShareReport report = service.book.Report(ready);
 		report.owner_epoch = service.epoch;
-		this->clock.After(this->Delay(), [this, n, report] { this->ledger->Take(this->services[n].name, report); });
+		this->clock.After(this->Delay(),
+						  [this, n, report] { this->ledger->ApplyReport(this->services[n].name, report); });
 	}
 
 	void Lend()
@@ -292,7 +293,7 @@
 	CHECK(book.Fits(AccountName("never-heard-of"), {1, 1, 1}));
 	book.Configure(AccountsWith(1, {0, 100, 0}), 1, 2);
 	CHECK(!book.Fits(AccountName("account-0"), {1, 1, 1}));
-	book.Take(ShareLoan{1, 1, 2, {}});
+	book.ApplyLoan(ShareLoan{1, 1, 2, {}});
 	CHECK(book.Fits(AccountName("account-0"), {int64_t{1} << 40, 8, 1}));
 	CHECK(!book.Fits(AccountName("account-0"), {1, 9, 1}));
 }
@@ -305,19 +306,19 @@
 	first.Begin(1);
 	const ServiceName service("s");
 	const AccountName account("a");
-	first.Take(service, ShareReport{1, 0, 0, 1, {ShareStatement{account, 0, 300000}}});
-	first.Take(ServiceName("t"), ShareReport{1, 0, 0, 1, {ShareStatement{account, 0, 1000}}});
+	first.ApplyReport(service, ShareReport{1, 0, 0, 1, {ShareStatement{account, 0, 300000}}});
+	first.ApplyReport(ServiceName("t"), ShareReport{1, 0, 0, 1, {ShareStatement{account, 0, 1000}}});
 	const std::vector<KeyedRecord> records = first.Decide();
 	REQUIRE(records.size() == 1);
-	REQUIRE(ShareLedger::Owns(records.front().key));
+	REQUIRE(ShareLedger::IsLedgerKey(records.front().key));
 	REQUIRE(ledger.Restore(records.front().key, *records.front().value));
 	ledger.Begin(2);
 	const uint64_t lent = ledger.Lent(account);
 	CHECK(lent >= 301000);
 	/* Said before the second owner was heard. */
-	ledger.Take(service, ShareReport{1, 1, 9, 1, {ShareStatement{account, 0, 0}}});
+	ledger.ApplyReport(service, ShareReport{1, 1, 9, 1, {ShareStatement{account, 0, 0}}});
 	CHECK(ledger.Lent(account) == lent);
-	ledger.Take(service, ShareReport{1, 2, 1, 1, {ShareStatement{account, 100, 100}}});
-	ledger.Take(ServiceName("t"), ShareReport{1, 2, 1, 1, {ShareStatement{account, 200, 0}}});
+	ledger.ApplyReport(service, ShareReport{1, 2, 1, 1, {ShareStatement{account, 100, 100}}});
+	ledger.ApplyReport(ServiceName("t"), ShareReport{1, 2, 1, 1, {ShareStatement{account, 200, 0}}});
 	CHECK(ledger.Lent(account) == 300);
 }
