--- a/src/bench/overload_bench.cpp
+++ b/src/bench/overload_bench.cpp
@@ -123,7 +123,7 @@
 	static RequestSettings SettingsOf(const Handling &handling)
 	{
 		RequestSettings settings;
-		settings.tries = handling.tries;
+		settings.max_attempts = handling.tries;
 		settings.spillover = false;
 		return settings;
 	}
@@ -159,7 +159,7 @@
 	void Tick()
 	{
 		this->path.routes.Gates().begin()->second->Tick(this->clock.Now());
-		while (!this->budget && this->path.retries.Fill() < 1000) {
+		while (!this->budget && this->path.retries.AddRetry() < 1000) {
 		}
 		this->clock.After(TICK, [this] { this->Tick(); });
 	}
--- a/src/bench/slots_bench.cpp
+++ b/src/bench/slots_bench.cpp
@@ -167,7 +167,7 @@
 		ask.deadline = asked + DEADLINE;
 		ask.done = [this, gate, asked](const GateDecision &answer) { this->OnAnswer(gate, asked, answer); };
 		SlotRequestId id;
-		if (const auto now = gate->Ask(std::move(ask), asked, id); now) {
+		if (const auto now = gate->RequestSlot(std::move(ask), asked, id); now) {
 			this->OnAnswer(gate, asked, *now);
 		}
 	}
--- a/src/entry/entry_dump.cpp
+++ b/src/entry/entry_dump.cpp
@@ -37,9 +37,9 @@
 		row["pool"] = Text(pool.Value());
 		row["waiting"] = Number(gate->Waiting());
 		row["granted"] = Number(counters.granted);
-		row["refused_full"] = Number(counters.full);
-		row["refused_late"] = Number(counters.late);
-		row["refused_nowhere"] = Number(counters.nowhere);
+		row["refused_full"] = Number(counters.queue_full);
+		row["refused_late"] = Number(counters.cannot_be_on_time);
+		row["refused_nowhere"] = Number(counters.no_endpoint);
 		row["ejections"] = Number(counters.ejections);
 		row["endpoints"] = endpoints;
 		gates.append(row);
@@ -74,7 +74,7 @@
 	row["forwarded"] = Number(counters.forwarded);
 	row["replayed"] = Number(counters.replayed);
 	row["broken"] = Number(counters.broken);
-	row["callers_left"] = Number(counters.left);
+	row["callers_left"] = Number(counters.callers_left);
 	row["under_way"] = static_cast<qint64>(counters.open);
 	return row;
 }
--- a/src/request/exchange.cpp
+++ b/src/request/exchange.cpp
@@ -214,7 +214,8 @@
 			}
 		});
 	};
-	const std::optional<GateDecision> answer = this->route.gate->Ask(std::move(want), this->lane.Now(), this->ask);
+	const std::optional<GateDecision> answer =
+			this->route.gate->RequestSlot(std::move(want), this->lane.Now(), this->ask);
 	if (answer) {
 		this->OnGate(round, *answer);
 	}
@@ -415,8 +416,8 @@
 
 bool Exchange::MayRetry() const
 {
-	return !this->to_peer && this->sendings < this->path.settings.tries && this->lane.Now() < this->facts.deadline &&
-		   this->path.retries.Spend();
+	return !this->to_peer && this->sendings < this->path.settings.max_attempts &&
+		   this->lane.Now() < this->facts.deadline && this->path.retries.Spend();
 }
 
 void Exchange::Retry(CallOutcome outcome)
@@ -456,7 +457,7 @@
 	if (this->state == ExchangeState::ES_DONE || this->state == ExchangeState::ES_DETACHED) {
 		return;
 	}
-	this->path.counters.left++;
+	this->path.counters.callers_left++;
 	if (this->state == ExchangeState::ES_SENT) {
 		this->Detach();
 		return;
--- a/src/request/pool_gate.cpp
+++ b/src/request/pool_gate.cpp
@@ -257,11 +257,11 @@
 	answer.code = code;
 	answer.retry_after = LEAST_RETRY_AFTER;
 	if (code == ResultCode::RC_QUEUE_FULL) {
-		this->counters.full++;
+		this->counters.queue_full++;
 	} else if (code == ResultCode::RC_CANNOT_BE_ON_TIME) {
-		this->counters.late++;
+		this->counters.cannot_be_on_time++;
 	} else {
-		this->counters.nowhere++;
+		this->counters.no_endpoint++;
 	}
 	if (service != nullptr) {
 		const Millis wait = this->WaitFor(*service, WorkClass::WC_BATCH, now + Millis(MS_PER_DAY), now);
@@ -270,7 +270,7 @@
 	return answer;
 }
 
-std::optional<GateDecision> PoolGate::Ask(SlotRequest ask, Millis now, SlotRequestId &id)
+std::optional<GateDecision> PoolGate::RequestSlot(SlotRequest ask, Millis now, SlotRequestId &id)
 {
 	const std::scoped_lock guard(this->lock);
 	const auto found = this->services.find(ask.service);
--- a/src/request/pool_gate.h
+++ b/src/request/pool_gate.h
@@ -78,11 +78,11 @@
 
 /** Counters of a gate. */
 struct GateCounters {
-	uint64_t granted = 0;   ///< Slots given.
-	uint64_t full = 0;      ///< Refused: queue full.
-	uint64_t late = 0;      ///< Refused: could not be on time.
-	uint64_t nowhere = 0;   ///< Refused: no endpoint open.
-	uint64_t ejections = 0; ///< Endpoints ejected.
+	uint64_t granted = 0;           ///< Slots given.
+	uint64_t queue_full = 0;        ///< Refused: queue full.
+	uint64_t cannot_be_on_time = 0; ///< Refused: could not be on time.
+	uint64_t no_endpoint = 0;       ///< Refused: no endpoint open.
+	uint64_t ejections = 0;         ///< Endpoints ejected.
 };
 
 /** State of an endpoint, for dumps. */
@@ -124,7 +124,7 @@
 	 * @param[out] id For Withdraw(), when no answer is returned.
 	 * @return An answer at once, or nothing: `ask.done` will get it.
 	 */
-	std::optional<GateDecision> Ask(SlotRequest ask, Millis now, SlotRequestId &id);
+	std::optional<GateDecision> RequestSlot(SlotRequest ask, Millis now, SlotRequestId &id);
 
 	/**
 	 * Takes a waiting request out.
--- a/src/request/request_path.h
+++ b/src/request/request_path.h
@@ -43,22 +43,22 @@
 	Millis deadline_batch = Millis(60000);  ///< The same of batch ones.
 	Millis deadline_max = Millis(600000);   ///< Longest deadline that a caller may name.
 	Millis detach_patience = Millis(30000); ///< How long an endpoint may work on after its caller left.
-	uint32_t tries = 3;                     ///< Most endpoints that one request is offered to.
+	uint32_t max_attempts = 3;              ///< Most endpoints that one request is offered to.
 	bool spillover = true;                  ///< Ask other zones when the own has nothing.
 };
 
 /** Counters of the request path. */
 struct RequestCounters {
-	std::atomic<uint64_t> received{0};  ///< Requests.
-	std::atomic<uint64_t> answered{0};  ///< Whole answers passed on.
-	std::atomic<uint64_t> refused{0};   ///< Refused as not run.
-	std::atomic<uint64_t> unknown{0};   ///< Ended as unknown.
-	std::atomic<uint64_t> retries{0};   ///< Sent again, after "not run" or since they may be repeated.
-	std::atomic<uint64_t> forwarded{0}; ///< Sent to another entry.
-	std::atomic<uint64_t> replayed{0};  ///< Answered from the memory of keys.
-	std::atomic<uint64_t> broken{0};    ///< Answers broken off.
-	std::atomic<uint64_t> left{0};      ///< Callers that left before their answer.
-	std::atomic<int64_t> open{0};       ///< Requests under way.
+	std::atomic<uint64_t> received{0};     ///< Requests.
+	std::atomic<uint64_t> answered{0};     ///< Whole answers passed on.
+	std::atomic<uint64_t> refused{0};      ///< Refused as not run.
+	std::atomic<uint64_t> unknown{0};      ///< Ended as unknown.
+	std::atomic<uint64_t> retries{0};      ///< Sent again, after "not run" or since they may be repeated.
+	std::atomic<uint64_t> forwarded{0};    ///< Sent to another entry.
+	std::atomic<uint64_t> replayed{0};     ///< Answered from the memory of keys.
+	std::atomic<uint64_t> broken{0};       ///< Answers broken off.
+	std::atomic<uint64_t> callers_left{0}; ///< Callers that left before their answer.
+	std::atomic<int64_t> open{0};          ///< Requests under way.
 };
 
 /** Latencies of one service, by Boost.Accumulators. */
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -32,7 +32,7 @@
 	 * Puts one retry into the bucket, whatever succeeded: for baselines without a budget.
 	 * @return Retries in the bucket.
 	 */
-	int64_t Fill() { return (this->tokens.fetch_add(SCALE) + SCALE) / SCALE; }
+	int64_t AddRetry() { return (this->tokens.fetch_add(SCALE) + SCALE) / SCALE; }
 
 	/** @return Whether a retry may be made; it is paid for when so. */
 	bool Spend()
--- a/tests/test_slots.cpp
+++ b/tests/test_slots.cpp
@@ -81,7 +81,7 @@
 				this->held[node] += answer.code == ResultCode::RC_OK ? 1 : 0;
 			};
 			SlotRequestId id;
-			if (const auto now = gate->Ask(std::move(ask), this->clock.Now(), id); now) {
+			if (const auto now = gate->RequestSlot(std::move(ask), this->clock.Now(), id); now) {
 				this->held[node] += now->code == ResultCode::RC_OK ? 1 : 0;
 			}
 		}
