--- a/src/planner/job_plan.cpp
+++ b/src/planner/job_plan.cpp
@@ -1,4 +1,4 @@
-/** @file job_plan.cpp Which box runs which job: fair shares of teams, urgent work first, room made by checkpoints. */
+/** @file job_plan.cpp Places jobs on boxes: urgent jobs first, fair shares of teams, preemption of batch jobs. */
 #include "planner_func.h"
 
 #include <algorithm>
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr uint64_t SHARE_SCALE = 1000000; ///< A team's use of its quota is kept in millionths.
+constexpr uint64_t SHARE_SCALE = 1000000; ///< Millionths in a whole: unit of a team's use of its quota.
 
 /** Room for jobs on a box. */
-struct Room {
+struct BoxRoom {
 	const Box *box = nullptr; ///< The box.
 	uint32_t free = 0;        ///< Units free.
 };
 
-/** What is free on the boxes: those maintained last first, so that boxes due soon run empty by themselves. */
+/** Room on the boxes, most recently maintained boxes first, so that boxes due soon become empty without a drain. */
 class RoomList {
 public:
 	RoomList(const FleetState &fleet, const PlannerPolicy &policy)
@@ -31,27 +31,27 @@
 			all += box.slots.Value();
 			if (taken < box.slots.Value()) {
 				this->free += box.slots.Value() - taken;
-				this->rooms.push_back(Room{&box, box.slots.Value() - taken});
+				this->rooms.push_back(BoxRoom{&box, box.slots.Value() - taken});
 			}
 		}
 		this->reserve = (all * policy.urgent_reserve_percent + 99) / 100;
-		std::ranges::sort(this->rooms, [](const Room &a, const Room &b) {
+		std::ranges::sort(this->rooms, [](const BoxRoom &a, const BoxRoom &b) {
 			return std::make_tuple(-a.box->last_maintained.Value(), a.free, a.box->name) <
 				   std::make_tuple(-b.box->last_maintained.Value(), b.free, b.box->name);
 		});
 	}
 
 	/**
-	 * Takes room for a job, not on a box where it has failed.
+	 * Allocates room for a job, on a box where it hasn't failed.
 	 * @param job The job.
-	 * @return The box, null when there is no room.
+	 * @return The box, or null when there is no room.
 	 */
-	const Box *Take(const Job &job)
+	const Box *Allocate(const Job &job)
 	{
 		if (job.work_class != WorkClass::WC_URGENT && this->free < job.units + this->reserve) {
 			return nullptr;
 		}
-		const auto fits = [&](const Room &it) {
+		const auto fits = [&](const BoxRoom &it) {
 			return it.free >= job.units && !job.failed_on.contains(it.box->name.Value());
 		};
 		const auto it = std::ranges::find_if(this->rooms, fits);
@@ -68,26 +68,26 @@
 	}
 
 private:
-	std::vector<Room> rooms; ///< Boxes with room, best first.
-	uint32_t free = 0;       ///< Units free on all of them.
-	uint32_t reserve = 0;    ///< Units that only urgent jobs may take.
+	std::vector<BoxRoom> rooms; ///< Boxes with room, best first.
+	uint32_t free = 0;          ///< Units free on all of them.
+	uint32_t reserve = 0;       ///< Units that only urgent jobs may take.
 };
 
-/** Waiting jobs of a team in one class, oldest first, and how much of its quota the team uses. */
+/** Waiting jobs of a team in one class, and the team's use of its quota. */
 struct TeamQueue {
 	TeamName team;                 ///< The team.
-	uint32_t quota = 0;            ///< Its quota.
-	uint32_t used = 0;             ///< Units in use, with those placed in this step.
-	std::vector<const Job *> jobs; ///< Waiting, oldest first.
-	size_t next = 0;               ///< Next to place.
+	uint32_t quota = 0;            ///< Its quota in units; 0 if it has none.
+	uint32_t used = 0;             ///< Units in use, including jobs placed in this round.
+	std::vector<const Job *> jobs; ///< Waiting jobs, oldest first.
+	size_t next = 0;               ///< Index of the next job to place.
 
-	/** @return Share of the quota in use; the smallest is served first. */
+	/** @return Share of the quota in use, in millionths; the smallest is served first. */
 	[[nodiscard]] uint64_t Share() const { return uint64_t{this->used} * SHARE_SCALE / std::max(this->quota, 1U); }
 };
 
 /**
  * Sorts waiting jobs by class and team.
- * @param fleet The state.
+ * @param fleet The fleet's state.
  * @return Queues by class, most urgent first.
  */
 std::map<WorkClass, std::map<TeamName, TeamQueue>> QueuesOf(const FleetState &fleet)
@@ -112,12 +112,12 @@
 }
 
 /**
- * Proposes a placement.
+ * Proposes the placement of a job on a box.
  * @param job The job.
  * @param box The box.
  * @return The proposal.
  */
-Proposal Place(const Job &job, const Box &box)
+Proposal MakePlacement(const Job &job, const Box &box)
 {
 	glade::wire::JobPlaceT record;
 	record.job = job.name.Value();
@@ -136,9 +136,9 @@
 	}
 
 	/**
-	 * Places what fits.
+	 * Places the jobs that fit.
 	 * @param teams Queues of the class.
-	 * @return Units of the class that found no room, of teams within their quota.
+	 * @return Units of the jobs within their teams' quotas that found no room.
 	 */
 	uint32_t Run(std::map<TeamName, TeamQueue> &teams)
 	{
@@ -150,28 +150,28 @@
 			queue.used = this->used[team];
 			order.push(&queue);
 		}
-		uint32_t missing = 0;
+		uint32_t unplaced_units = 0;
 		while (!order.empty() && this->plan.placements.size() < this->limit) {
 			TeamQueue *queue = order.top();
 			order.pop();
-			missing += this->PlaceNext(*queue);
+			unplaced_units += this->PlaceNext(*queue);
 			if (queue->next < queue->jobs.size()) {
 				order.push(queue);
 			}
 		}
-		return missing;
+		return unplaced_units;
 	}
 
 private:
-	RoomList &rooms;                    ///< What is free.
-	std::map<TeamName, uint32_t> &used; ///< Units in use per team.
+	RoomList &rooms;                    ///< Room on the boxes.
+	std::map<TeamName, uint32_t> &used; ///< Units in use by team.
 	JobPlan &plan;                      ///< Gets the placements.
-	size_t limit;                       ///< Most placements.
+	size_t limit;                       ///< Maximum number of placements.
 
 	/**
 	 * Places the next job of a team.
-	 * @param queue The team.
-	 * @return Its units when it found no room, else 0.
+	 * @param queue The team's queue.
+	 * @return Units of the job when it found no room, else 0.
 	 */
 	uint32_t PlaceNext(TeamQueue &queue)
 	{
@@ -179,21 +179,21 @@
 		if (queue.used + job.units > queue.quota) {
 			return 0;
 		}
-		const Box *box = this->rooms.Take(job);
+		const Box *box = this->rooms.Allocate(job);
 		if (box == nullptr) {
 			return job.units;
 		}
 		queue.used += job.units;
 		this->used[queue.team] = queue.used;
-		this->plan.placements.push_back(Place(job, *box));
+		this->plan.placements.push_back(MakePlacement(job, *box));
 		return 0;
 	}
 };
 
 /**
- * Chooses batch jobs to stop at a checkpoint so that urgent work finds room: youngest first, they lose least.
- * @param fleet The state.
- * @param units Units that urgent work misses.
+ * Chooses batch jobs to stop at a checkpoint so that urgent jobs find room: youngest first, since they lose least.
+ * @param fleet The fleet's state.
+ * @param units Units that urgent jobs lack.
  * @return Jobs to stop.
  */
 std::vector<JobName> ChooseVictims(const FleetState &fleet, uint32_t units)
@@ -220,12 +220,12 @@
 }
 
 /**
- * Jobs on draining boxes whose patience is over. Work that may not be repeated is waited for.
- * @param fleet The state.
- * @param policy How long jobs may go on.
+ * Finds jobs to stop on boxes that have been draining too long. Jobs that may not be repeated run to their end.
+ * @param fleet The fleet's state.
+ * @param policy Policy, for how long jobs of a draining box may run.
  * @return Jobs to stop.
  */
-std::vector<JobName> JobsOnDraining(const FleetState &fleet, const PlannerPolicy &policy)
+std::vector<JobName> ExpiredDrainJobs(const FleetState &fleet, const PlannerPolicy &policy)
 {
 	std::vector<JobName> stop;
 	for (const auto &[name, job] : fleet.jobs) {
@@ -249,11 +249,11 @@
 	RoomList rooms(fleet, policy);
 	std::map<TeamName, uint32_t> used = fleet.team_used;
 	for (auto &[work_class, teams] : QueuesOf(fleet)) {
-		const uint32_t missing = ClassPlacer(rooms, used, plan, limit).Run(teams);
-		if (work_class == WorkClass::WC_URGENT && missing > 0) {
-			plan.stop = ChooseVictims(fleet, missing);
+		const uint32_t unplaced_units = ClassPlacer(rooms, used, plan, limit).Run(teams);
+		if (work_class == WorkClass::WC_URGENT && unplaced_units > 0) {
+			plan.stop = ChooseVictims(fleet, unplaced_units);
 		}
 	}
-	std::ranges::move(JobsOnDraining(fleet, policy), std::back_inserter(plan.stop));
+	std::ranges::move(ExpiredDrainJobs(fleet, policy), std::back_inserter(plan.stop));
 	return plan;
 }
--- a/src/planner/planner_func.h
+++ b/src/planner/planner_func.h
@@ -1,60 +1,60 @@
-/** @file planner_func.h Planning steps: pure functions from the fleet's state to proposals. */
+/** @file planner_func.h Planning steps: pure functions that turn the fleet's state into proposals. */
 #ifndef PLANNER_FUNC_H
 #define PLANNER_FUNC_H
 
 #include "../fleet/budget_func.h"
 #include "planner_type.h"
 
-/** Pools by name, with what planned steps of this round have changed in them. */
+/** Pools by name, with the changes that this round of planning has proposed so far. */
 using PoolDraft = std::map<PoolName, PoolPicture>;
 
 /**
  * Proposes a permit and marks the box as draining in the draft.
  * @param box The box in the draft.
- * @param purpose What the permit is for.
- * @param to Target of a move; empty for maintenance.
+ * @param purpose Purpose of the permit.
+ * @param to Target pool of a move; empty for maintenance.
  * @return The proposal.
  */
 Proposal GrantPermit(Box &box, PermitPurpose purpose, const PoolName &to);
 
 /**
- * Registers new boxes and records changes of health.
- * @param fleet The state.
- * @param list The platform's list.
+ * Registers new and changed boxes and records changes of health.
+ * @param fleet The fleet's state.
+ * @param list The platform's list of boxes.
  * @return Proposals.
  */
 std::vector<Proposal> PlanList(const FleetState &fleet, const std::vector<ListedBox> &list);
 
 /**
- * Tells which draining boxes are confirmed as empty. Keepers do this for their zone, whoever plans.
- * @param fleet The state.
+ * Reports which draining boxes are confirmed as empty. Every keeper does so for its zone, even if another one plans.
+ * @param fleet The fleet's state.
  * @param zone The zone, or null for all.
- * @param inputs Drains.
+ * @param inputs Inputs, of which the confirmed drains are used.
  * @return Proposals.
  */
 std::vector<Proposal> PlanDrains(const FleetState &fleet, const ZoneName *zone, const PlannerInputs &inputs);
 
 /**
- * Carries boxes under a permit on: flip, reboot, back, verified, set aside.
- * @param fleet The state.
- * @param inputs List and drains.
- * @return Proposals. An accepted BK_REBOOT is followed by the order to the platform.
+ * Plans the next step of boxes under a permit (flip, reboot, back, verified, set aside) and restores boxes set aside.
+ * @param fleet The fleet's state.
+ * @param inputs Inputs, of which the list is used.
+ * @return Proposals. When a BK_REBOOT is accepted, the platform is ordered to reboot the box.
  */
 std::vector<Proposal> PlanSteps(const FleetState &fleet, const PlannerInputs &inputs);
 
 /**
- * Withdraws permits of boxes not rebooted yet where failures left the floors without headroom.
- * @param draft The pools; withdrawn boxes serve again in it.
+ * Withdraws permits of boxes not rebooted yet, in pools where failures left the floors without headroom.
+ * @param[in,out] draft The pools; boxes whose permit is withdrawn serve again in it.
  * @return Proposals.
  */
 std::vector<Proposal> PlanWithdrawals(PoolDraft &draft);
 
 /**
- * Moves boxes to pools that are short of them, if it is worth a move.
- * @param draft The pools; boxes chosen are draining in it.
+ * Moves boxes to pools that are short of them, if that is worth a move.
+ * @param[in,out] draft The pools; boxes chosen are draining in it.
  * @param now Log time.
- * @param policy Weights.
- * @param observed Observed use per pool.
+ * @param policy Policy.
+ * @param observed Observed use by pool, in slots.
  * @return Proposals.
  */
 std::vector<Proposal> PlanMoves(PoolDraft &draft, Millis now, const PlannerPolicy &policy,
@@ -62,34 +62,35 @@
 
 /**
  * Grants permits for maintenance: waves along failure domains, a canary first, sized by the tightest budget.
- * @param draft The pools; boxes chosen are draining in it.
- * @param fleet The state, for jobs on boxes and the time.
- * @param policy Cycle and leads.
+ * @param[in,out] draft The pools; boxes chosen are draining in it.
+ * @param fleet The fleet's state, for jobs on boxes and the time.
+ * @param policy Policy, of which cycle, leads and zones are used.
  * @return Proposals.
  */
 std::vector<Proposal> PlanMaintenance(PoolDraft &draft, const FleetState &fleet, const PlannerPolicy &policy);
 
 /**
- * One whole planning step for boxes.
- * @param fleet The state.
+ * Runs one whole round of planning for boxes.
+ * @param fleet The fleet's state.
  * @param inputs List, use and drains.
- * @param policy Weights.
+ * @param policy Policy.
  * @return Proposals in the order in which they should be decided.
  */
 std::vector<Proposal> PlanBoxes(const FleetState &fleet, const PlannerInputs &inputs, const PlannerPolicy &policy);
 
-/** What the job planner wants done. */
+/** Result of planning jobs. */
 struct JobPlan {
 	std::vector<Proposal> placements; ///< Jobs to place.
-	std::vector<JobName> stop;        ///< Running jobs to stop at a checkpoint, for urgent work or a draining box.
+	std::vector<JobName> stop;        ///< Running jobs to stop at a checkpoint, for urgent jobs or a draining box.
 };
 
 /**
- * Places waiting jobs: urgent first, then the team furthest below its quota; boxes maintained last first, fullest
- * first. Urgent work that finds no room stops batch jobs that may be repeated.
- * @param fleet The state.
- * @param policy Weights, for how long jobs of a draining box may go on.
- * @param limit Most placements in one step.
+ * Places waiting jobs: urgent ones first, then those of the team that uses least of its quota. Of the boxes, the most
+ * recently maintained come first, then the fullest. For urgent jobs that find no room, batch jobs that may be repeated
+ * are stopped.
+ * @param fleet The fleet's state.
+ * @param policy Policy, for the urgent reserve and for how long jobs of a draining box may run.
+ * @param limit Maximum number of placements.
  * @return Placements and jobs to stop.
  */
 JobPlan PlanJobs(const FleetState &fleet, const PlannerPolicy &policy, size_t limit);
--- a/src/planner/pool_plan.cpp
+++ b/src/planner/pool_plan.cpp
@@ -1,4 +1,4 @@
-/** @file pool_plan.cpp Which pool has which box: registration, choice of pools, moves. */
+/** @file pool_plan.cpp Assigns boxes to pools: registration of new boxes, choice of their pools, moves. */
 #include "planner_func.h"
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr uint64_t PERCENT = 100;   ///< Hundredths in a whole.
-constexpr int64_t DONOR_WEIGHT = 4; ///< What a donor keeps, against the domains of the box, in the choice of a move.
+constexpr int64_t DONOR_WEIGHT = 4; ///< Weight of the donor's remaining margin in the score of a move.
 
 /**
- * Slots that a pool should be able to use: its floors, or what it was seen to use when that is more.
+ * Computes the demand of a pool: its floors, or its observed use (up to its ceilings) if that is more.
  * @param pool The pool.
- * @param observed Observed use per pool.
- * @return Slots.
+ * @param observed Observed use by pool, in slots.
+ * @return Slots that the pool should be able to use.
  */
 uint64_t DemandOf(const PoolPicture &pool, const std::map<PoolName, uint64_t> &observed)
 {
@@ -27,17 +27,17 @@
 }
 
 /**
- * A pool as it will be when what is under way has ended: moves have arrived, maintenance is over, boxes that failed a
- * short while ago are back.
+ * Projects a pool to the end of everything in progress: moves have arrived, maintenance is over, boxes that failed
+ * recently are back.
  * @param draft All pools.
  * @param pool One of them.
  * @param failed_after Boxes that failed after this log time count as coming back.
- * @return The copy.
+ * @return The projected copy of the pool.
  */
-PoolPicture WithArrivals(const PoolDraft &draft, const PoolPicture &pool, Millis failed_after)
+PoolPicture ProjectPool(const PoolDraft &draft, const PoolPicture &pool, Millis failed_after)
 {
-	PoolPicture later = pool;
-	for (Box &box : later.boxes) {
+	PoolPicture projected = pool;
+	for (Box &box : projected.boxes) {
 		const bool maintained = box.purpose == PermitPurpose::PP_MAINTAIN;
 		const bool failed_just_now = box.health != BoxHealth::BH_UP && box.health_since >= failed_after;
 		if ((maintained || box.state == BoxState::BS_SERVING) && (maintained || failed_just_now)) {
@@ -48,21 +48,21 @@
 	for (const auto &[name, other] : draft) {
 		for (const Box &box : other.boxes) {
 			if (box.purpose == PermitPurpose::PP_MOVE && box.move_to == pool.name) {
-				later.boxes.push_back(box);
-				later.boxes.back().state = BoxState::BS_SERVING;
-				later.boxes.back().health = BoxHealth::BH_UP;
+				projected.boxes.push_back(box);
+				projected.boxes.back().state = BoxState::BS_SERVING;
+				projected.boxes.back().health = BoxHealth::BH_UP;
 			}
 		}
 	}
-	return later;
+	return projected;
 }
 
 /**
- * How far a pool is from holding its demand and guards with boxes to spare, in slots.
- * @param pool The pool, with arrivals.
- * @param demand Slots it should be able to use.
+ * Computes how far a pool's capacity exceeds its demand, guards and spare boxes.
+ * @param pool The projected pool.
+ * @param demand Slots that it should be able to use.
  * @param spare_boxes Boxes that maintenance may take at once.
- * @return Slots missing when negative, slots left over when positive.
+ * @return Spare slots; negative when slots are missing.
  */
 int64_t MarginOf(const PoolPicture &pool, uint64_t demand, uint32_t spare_boxes)
 {
@@ -74,20 +74,20 @@
 }
 
 /** Slots of a pool that take work, in the failure domains of a box. */
-struct SlotsBeside {
+struct DomainSlots {
 	uint64_t in_zone = 0; ///< In its availability zone.
 	uint64_t in_rack = 0; ///< In its rack.
 };
 
 /**
- * Counts them.
+ * Counts a pool's slots that take work in the failure domains of a box.
  * @param pool The pool.
- * @param box The box; itself counted, if it is in the pool.
+ * @param box The box; it counts too if it is in the pool.
  * @return The slots.
  */
-SlotsBeside CountBeside(const PoolPicture &pool, const Box &box)
+DomainSlots CountDomainSlots(const PoolPicture &pool, const Box &box)
 {
-	SlotsBeside slots;
+	DomainSlots slots;
 	for (const Box &it : pool.boxes) {
 		if (!TakesWork(it) || it.zone_key != box.zone_key) {
 			continue;
@@ -98,7 +98,7 @@
 	return slots;
 }
 
-/** Sum of the weights of a pool's services. */
+/** @return Sum of the weights of a pool's services. @param pool The pool. */
 uint64_t WeightOf(const PoolPicture &pool)
 {
 	uint64_t weight = 0;
@@ -108,7 +108,7 @@
 	return weight;
 }
 
-/** Failure domains of the fleet. */
+/** Number of failure domains of the fleet, and its slots. */
 struct DomainCounts {
 	uint64_t zones = 0; ///< Availability zones with boxes.
 	uint64_t racks = 0; ///< Racks with boxes.
@@ -117,10 +117,10 @@
 };
 
 /**
- * Slots that a pool needs if its boxes are spread evenly: each guard asks for its floors to survive one domain of n,
- * so for n / (n - 1) times the floors, and maintenance for boxes to spare.
+ * Computes the slots that a pool needs if its boxes are spread evenly. For each guard, the floors must survive the loss
+ * of one of n domains, which takes n / (n - 1) times the floors. Maintenance needs spare boxes on top.
  * @param pool The pool.
- * @param demand Slots it should be able to use.
+ * @param demand Slots that it should be able to use.
  * @param counts Failure domains.
  * @param spare_boxes Boxes that maintenance may take at once.
  * @return Slots.
@@ -128,23 +128,23 @@
 uint64_t NeedOf(const PoolPicture &pool, uint64_t demand, const DomainCounts &counts, uint32_t spare_boxes)
 {
 	const PoolFloors floors = FloorsOf(pool);
-	const auto survive = [](uint64_t slots, uint64_t domains) {
+	const auto slots_to_survive = [](uint64_t slots, uint64_t domains) {
 		return domains < 2 ? 2 * slots : (slots * domains + domains - 2) / (domains - 1);
 	};
 	uint64_t need = demand;
 	need = std::max(need, floors.at_least[static_cast<int>(Guard::GD_BOX)] + counts.box);
-	need = std::max(need, survive(floors.at_least[static_cast<int>(Guard::GD_RACK)], counts.racks));
-	need = std::max(need, survive(floors.at_least[static_cast<int>(Guard::GD_ZONE)], counts.zones));
+	need = std::max(need, slots_to_survive(floors.at_least[static_cast<int>(Guard::GD_RACK)], counts.racks));
+	need = std::max(need, slots_to_survive(floors.at_least[static_cast<int>(Guard::GD_ZONE)], counts.zones));
 	return demand == 0 ? 0 : need + spare_boxes * counts.box;
 }
 
 /**
- * Splits all slots among the pools: what each needs first, the rest by weight.
+ * Splits all slots among the pools: first what each needs, then the rest by weight.
  * @param draft All pools.
  * @param counts Failure domains.
- * @param policy Weights.
- * @param observed Observed use.
- * @return Target per pool, in slots, at least 1 for a pool that rows name.
+ * @param policy Policy, of which the spare boxes are used.
+ * @param observed Observed use by pool, in slots.
+ * @return Target by pool, in slots, at least 1; only pools with services have one.
  */
 std::map<PoolName, uint64_t> TargetsOf(const PoolDraft &draft, const DomainCounts &counts, const PlannerPolicy &policy,
 									   const std::map<PoolName, uint64_t> &observed)
@@ -190,42 +190,42 @@
 	return counts;
 }
 
-/** How full a pool would be with a new box, in the whole and in the box's zone; the smallest gets it. */
+/** How full a pool would be with a new box, as a whole and in the box's zone; the lowest value wins. */
 struct Fullness {
-	uint64_t millionths = 0; ///< Slots against the target, plus the same for the zone alone.
-	uint64_t in_rack = 0;    ///< Its slots in the rack of the box.
-	PoolName name;           ///< To make the choice unique.
+	uint64_t millionths = 0; ///< Slots relative to the target, plus the same for the zone alone.
+	uint64_t in_rack = 0;    ///< The pool's slots in the rack of the box.
+	PoolName name;           ///< The pool; makes the order total.
 
 	auto operator<=>(const Fullness &) const = default;
 };
 
 /**
- * Rates a pool for a new box.
+ * Computes how full a pool would be with a new box.
  * @param pool The pool.
  * @param box The box.
- * @param target Its target, in slots.
- * @param zones Availability zones.
- * @return The rating.
+ * @param target Target of the pool, in slots.
+ * @param zones Number of availability zones of the fleet.
+ * @return The fullness.
  */
-Fullness Rate(const PoolPicture &pool, const Box &box, uint64_t target, uint64_t zones)
+Fullness FullnessOf(const PoolPicture &pool, const Box &box, uint64_t target, uint64_t zones)
 {
 	constexpr uint64_t MILLION = 1000000;
 	uint64_t all = 0;
 	for (const Box &it : pool.boxes) {
 		all += it.slots.Value();
 	}
-	/* Half a box more, so that rounding favours no pool. */
+	/* Count half of the new box, so that rounding favours no pool. */
 	const uint64_t half = box.slots.Value() / 2;
-	const SlotsBeside beside = CountBeside(pool, box);
-	Fullness rate;
-	rate.millionths = ((all + half) + (beside.in_zone + half) * zones) * MILLION / target;
-	rate.in_rack = beside.in_rack;
-	rate.name = pool.name;
-	return rate;
+	const DomainSlots domain_slots = CountDomainSlots(pool, box);
+	Fullness fullness;
+	fullness.millionths = ((all + half) + (domain_slots.in_zone + half) * zones) * MILLION / target;
+	fullness.in_rack = domain_slots.in_rack;
+	fullness.name = pool.name;
+	return fullness;
 }
 
 /**
- * The box as it will be recorded.
+ * Builds the state of a newly registered box.
  * @param box The listed box.
  * @param pool Its pool.
  * @return The box.
@@ -241,12 +241,12 @@
 	return added;
 }
 
-/** Chooses pools for new boxes, one after the other. */
+/** Chooses pools for new boxes, one by one. */
 class PoolChooser {
 public:
 	/**
-	 * @param draft The pools as they are.
-	 * @param list All boxes that will be there.
+	 * @param draft The current pools.
+	 * @param list All boxes of the platform's list, known and new.
 	 */
 	PoolChooser(PoolDraft draft, const std::vector<ListedBox> &list) : draft(std::move(draft))
 	{
@@ -267,9 +267,9 @@
 	}
 
 	/**
-	 * Chooses the pool of a box, and counts the box in it.
+	 * Chooses the pool of a new box and adds the box to it.
 	 * @param box The box.
-	 * @return The pool; empty when no row names any.
+	 * @return The pool; empty when there is no pool with services.
 	 */
 	PoolName Choose(const ListedBox &box)
 	{
@@ -277,91 +277,91 @@
 			return {};
 		}
 		const Box added = NewBox(box, PoolName());
-		const auto rate = [&](const auto &it) {
-			return Rate(this->draft.at(it.first), added, it.second, this->counts.zones);
+		const auto fullness = [&](const auto &it) {
+			return FullnessOf(this->draft.at(it.first), added, it.second, this->counts.zones);
 		};
-		PoolName chosen = std::ranges::min_element(this->targets, {}, rate)->first;
+		PoolName chosen = std::ranges::min_element(this->targets, {}, fullness)->first;
 		this->draft[chosen].boxes.push_back(NewBox(box, chosen));
 		return chosen;
 	}
 
 private:
-	PoolDraft draft;                      ///< The pools, with boxes chosen so far.
+	PoolDraft draft;                      ///< The pools, with the boxes added so far.
 	DomainCounts counts;                  ///< Failure domains.
-	std::map<PoolName, uint64_t> targets; ///< Target per pool, in slots.
+	std::map<PoolName, uint64_t> targets; ///< Target by pool, in slots.
 };
 
-/** A box that could move. */
+/** A possible move of a box. */
 struct MoveChoice {
-	PoolPicture *from = nullptr; ///< Donor.
+	PoolPicture *from = nullptr; ///< The donor.
 	Box *box = nullptr;          ///< The box.
 	int64_t score = 0;           ///< Larger is better.
 };
 
 /**
- * How good it is to take a box from a donor for a pool: crowded domains of the donor, empty ones of the receiver.
- * @param donor Donor.
- * @param receiver Receiver.
+ * Scores the move of a box by failure domains: higher if the donor has many slots there and the receiver few.
+ * @param donor Pool that the box would leave.
+ * @param receiver Pool that it would join.
  * @param box The box.
- * @return The score.
+ * @return The score; larger is better.
  */
 int64_t MoveScore(const PoolPicture &donor, const PoolPicture &receiver, const Box &box)
 {
-	const auto crowd = [&](const PoolPicture &pool) {
-		const SlotsBeside slots = CountBeside(pool, box);
+	const auto crowding = [&](const PoolPicture &pool) {
+		const DomainSlots slots = CountDomainSlots(pool, box);
 		return static_cast<int64_t>(2 * slots.in_zone + slots.in_rack);
 	};
-	return crowd(donor) - crowd(receiver);
+	return crowding(donor) - crowding(receiver);
 }
 
-/** What the choice of moves rests on. */
+/** Inputs for the choice of moves. */
 struct MoveContext {
 	PoolDraft &draft;                             ///< All pools.
-	const PlannerPolicy &policy;                  ///< Weights.
-	const std::map<PoolName, uint64_t> &observed; ///< Observed use.
+	const PlannerPolicy &policy;                  ///< Policy.
+	const std::map<PoolName, uint64_t> &observed; ///< Observed use by pool, in slots.
 	Millis now;                                   ///< Log time.
 
-	/** @return A pool as it will be when what is under way has ended. */
-	[[nodiscard]] PoolPicture Later(const PoolPicture &pool) const
+	/** @return The pool projected to the end of everything in progress. @param pool The pool. */
+	[[nodiscard]] PoolPicture Projected(const PoolPicture &pool) const
 	{
-		return WithArrivals(this->draft, pool, this->now - this->policy.failure_grace);
+		return ProjectPool(this->draft, pool, this->now - this->policy.failure_grace);
 	}
 
-	/** @return What a pool has over its demand and guards, in slots. */
+	/** @return Slots of a pool above its demand and guards; negative when it is short. @param pool The pool. */
 	[[nodiscard]] int64_t Margin(const PoolPicture &pool) const
 	{
 		return MarginOf(pool, DemandOf(pool, this->observed), 0);
 	}
 };
 
-/** A pool that has something left over. */
+/** A pool with spare slots. */
 struct Donor {
 	PoolPicture *pool = nullptr; ///< The pool.
-	PoolPicture later;           ///< As it will be when what is under way has ended.
+	PoolPicture projected;       ///< The projected pool.
 };
 
 /**
- * @param context Pools and weights.
- * @return Pools with something left over.
+ * @param context Pools, policy and observed use.
+ * @return Pools with spare slots once everything in progress has ended.
  */
 std::vector<Donor> DonorsOf(const MoveContext &context)
 {
 	std::vector<Donor> donors;
 	for (auto &[name, pool] : context.draft) {
-		PoolPicture later = context.Later(pool);
-		if (context.Margin(later) > 0) {
-			donors.push_back(Donor{&pool, std::move(later)});
+		PoolPicture projected = context.Projected(pool);
+		if (context.Margin(projected) > 0) {
+			donors.push_back(Donor{&pool, std::move(projected)});
 		}
 	}
 	return donors;
 }
 
 /**
- * Finds the best box to move into a pool: from the donor with most left over, out of its fullest domain.
- * @param context Pools and weights.
- * @param donors Pools with something left over.
+ * Finds the best box to move into a pool, by the margin that is left to the donor and by failure domains.
+ * @param context Pools, policy and observed use.
+ * @param donors Pools with spare slots.
  * @param receiver The pool that is short.
- * @return The choice; `box` is null when nobody can give.
+ * @return The choice; `box` is null when no donor can spare a box.
  */
 MoveChoice FindMove(const MoveContext &context, std::vector<Donor> &donors, const PoolPicture &receiver)
 {
@@ -374,10 +374,10 @@
 			if (!TakesWork(box) || box.permit != PermitId() || box.purpose != PermitPurpose::PP_NONE) {
 				continue;
 			}
-			const auto in_later = std::ranges::find(donor.later.boxes, box.name, &Box::name);
-			in_later->state = BoxState::BS_DRAINING;
-			const int64_t left = context.Margin(donor.later);
-			in_later->state = BoxState::BS_SERVING;
+			const auto in_projected = std::ranges::find(donor.projected.boxes, box.name, &Box::name);
+			in_projected->state = BoxState::BS_DRAINING;
+			const int64_t left = context.Margin(donor.projected);
+			in_projected->state = BoxState::BS_SERVING;
 			const int64_t score = DONOR_WEIGHT * left + MoveScore(*donor.pool, receiver, box);
 			const bool better = best.box == nullptr || score > best.score;
 			if (left >= 0 && better && CheckBudget(*donor.pool, box, false).Ok()) {
@@ -389,47 +389,47 @@
 }
 
 /**
- * Whether a pool needs a box: its floors are broken, its guards will stay broken, or a deadline nears and it can't
- * spare a box for maintenance.
- * @param context Pools and weights.
+ * Tells whether a pool needs a box. It does if it will be short when everything in progress has ended, if its floors
+ * are broken and no box is arriving, or if a maintenance deadline is near and it can't spare a box.
+ * @param context Pools, policy and observed use.
  * @param pool The pool.
- * @return Whether it is worth a move.
+ * @return Whether a box should be moved to it.
  */
 bool NeedsBox(const MoveContext &context, const PoolPicture &pool)
 {
-	const PoolPicture later = context.Later(pool);
-	if (context.Margin(later) < 0) {
+	const PoolPicture projected = context.Projected(pool);
+	if (context.Margin(projected) < 0) {
 		return true;
 	}
 	const bool broken = !FloorsHold(CapacityOf(pool), FloorsOf(pool), false);
-	const bool nothing_comes = later.boxes.size() == pool.boxes.size();
-	if (broken && nothing_comes) {
+	const bool nothing_arrives = projected.boxes.size() == pool.boxes.size();
+	if (broken && nothing_arrives) {
 		return true;
 	}
 	const Millis soon = context.now + context.policy.blocked_lead;
-	const auto waits = [&](const Box &box) {
+	const auto is_due_soon = [&](const Box &box) {
 		const Millis last = std::max(box.last_maintained, box.registered);
 		return box.purpose == PermitPurpose::PP_NONE && last + context.policy.cycle < soon;
 	};
-	const bool deadline_nears = std::ranges::any_of(later.boxes, waits);
-	const uint64_t box_slots = CapacityOf(later).largest_box;
-	return deadline_nears && context.Margin(later) < static_cast<int64_t>(box_slots);
+	const bool deadline_nears = std::ranges::any_of(projected.boxes, is_due_soon);
+	const uint64_t box_slots = CapacityOf(projected).largest_box;
+	return deadline_nears && context.Margin(projected) < static_cast<int64_t>(box_slots);
 }
 
 /**
- * Finds the pool that is furthest below its target, relative to it.
- * @param context Pools and weights.
- * @param targets Targets.
- * @return The pool and how far it is below, in hundredths of its target; null when none is.
+ * Finds the pool that is furthest below its target, relative to the target.
+ * @param context Pools, policy and observed use.
+ * @param targets Targets by pool, in slots.
+ * @return The pool and how far it is below, in percent of its target; null and 0 when no pool is.
  */
 std::pair<PoolPicture *, uint64_t> FurthestBelow(const MoveContext &context,
 												 const std::map<PoolName, uint64_t> &targets)
 {
 	std::pair<PoolPicture *, uint64_t> furthest = {nullptr, 0};
 	for (const auto &[name, target] : targets) {
-		const PoolPicture later = context.Later(context.draft.at(name));
+		const PoolPicture projected = context.Projected(context.draft.at(name));
 		uint64_t slots = 0;
-		for (const Box &box : later.boxes) {
+		for (const Box &box : projected.boxes) {
 			slots += box.slots.Value();
 		}
 		const uint64_t below = slots < target ? (target - slots) * PERCENT / target : 0;
@@ -466,7 +466,8 @@
 	}
 	std::vector<Donor> donors = DonorsOf(context);
 	for (auto &[name, pool] : draft) {
-		while (!pool.rows.empty() && !donors.empty() && moving < policy.moves_at_once && NeedsBox(context, pool)) {
+		while (!pool.rows.empty() && !donors.empty() && moving < policy.max_concurrent_moves &&
+			   NeedsBox(context, pool)) {
 			const MoveChoice choice = FindMove(context, donors, pool);
 			if (choice.box == nullptr) {
 				break;
@@ -476,7 +477,7 @@
 			moving++;
 		}
 	}
-	/* What is left over, by weight, only if the gap is worth a move and nothing else moves. */
+	/* Rebalance by target, only if the gap is large enough to be worth a move and nothing else moves. */
 	if (moving == 0 && policy.move_gain_percent < PERCENT) {
 		const auto targets = TargetsOf(draft, CountDomains(draft), policy, observed);
 		const auto [poorest, below] = FurthestBelow(context, targets);
@@ -517,7 +518,7 @@
 			proposals.push_back(MakeProposal(std::move(record)));
 		}
 	}
-	/* A box that the list has dropped is not known to be up. */
+	/* A box that is missing from the list counts as down. */
 	std::set<BoxName> listed;
 	for (const ListedBox &it : list) {
 		listed.insert(it.name);
--- a/src/planner/wave_plan.cpp
+++ b/src/planner/wave_plan.cpp
@@ -1,4 +1,4 @@
-/** @file wave_plan.cpp When each box is maintained: steps under permits, withdrawals, waves. */
+/** @file wave_plan.cpp Plans the maintenance of boxes: steps under permits, withdrawals, waves. */
 #include "planner_func.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
  * @param step The step.
  * @return The proposal.
  */
-Proposal Step(const Box &box, BoxStepKind step)
+Proposal MakeStep(const Box &box, BoxStepKind step)
 {
 	glade::wire::BoxStepT record;
 	record.box = box.name.Value();
@@ -24,12 +24,12 @@
 
 /**
  * Proposes that a box is empty, with the confirmations that this keeper knows, unless that would change nothing.
- * @param fleet The state.
+ * @param fleet The fleet's state.
  * @param box The box.
- * @param inputs Drains.
- * @return The proposal, null when there is nothing new.
+ * @param inputs Inputs, of which the confirmed drains are used.
+ * @return The proposal, or null when it would change nothing.
  */
-Proposal StepEmptied(const FleetState &fleet, const Box &box, const PlannerInputs &inputs)
+Proposal MakeEmptiedStep(const FleetState &fleet, const Box &box, const PlannerInputs &inputs)
 {
 	glade::wire::BoxStepT record;
 	record.box = box.name.Value();
@@ -48,58 +48,58 @@
 }
 
 /**
- * The next step of a box under a permit.
+ * Proposes the next step of a box under a permit, or of one that was set aside.
  * @param box The box.
  * @param listed The box in the platform's list, or null.
- * @return The proposal, null when there is nothing to do yet.
+ * @return The proposal, or null when there is nothing to do yet.
  */
 Proposal NextStep(const Box &box, const ListedBox *listed)
 {
 	switch (box.state) {
 	case BoxState::BS_EMPTY:
-		return Step(box, box.purpose == PermitPurpose::PP_MOVE ? BoxStepKind::BK_FLIP : BoxStepKind::BK_REBOOT);
+		return MakeStep(box, box.purpose == PermitPurpose::PP_MOVE ? BoxStepKind::BK_FLIP : BoxStepKind::BK_REBOOT);
 	case BoxState::BS_REBOOTING:
 		if (listed != nullptr && listed->booted_for == box.permit && listed->health == BoxHealth::BH_UP) {
-			return Step(box, BoxStepKind::BK_BACK);
+			return MakeStep(box, BoxStepKind::BK_BACK);
 		}
 		return nullptr;
 	case BoxState::BS_VERIFYING:
 		if (listed == nullptr || listed->health != BoxHealth::BH_UP || box.health != BoxHealth::BH_UP) {
 			return nullptr;
 		}
-		return Step(box, listed->checks_pass ? BoxStepKind::BK_VERIFIED : BoxStepKind::BK_SET_ASIDE);
+		return MakeStep(box, listed->checks_pass ? BoxStepKind::BK_VERIFIED : BoxStepKind::BK_SET_ASIDE);
 	case BoxState::BS_SET_ASIDE:
-		/* Set aside by its checks: once they pass it serves again, and is due for maintenance as before. */
+		/* Set aside by failed checks: once they pass, the box serves again and is due for maintenance as before. */
 		if (box.strikes == 0 && listed != nullptr && listed->health == BoxHealth::BH_UP && listed->checks_pass) {
-			return Step(box, BoxStepKind::BK_RESTORE);
+			return MakeStep(box, BoxStepKind::BK_RESTORE);
 		}
 		return nullptr;
-	case BoxState::BS_DRAINING: /* PlanDrains() */
+	case BoxState::BS_DRAINING: /* See PlanDrains(). */
 	case BoxState::BS_SERVING:
 		break;
 	}
 	return nullptr;
 }
 
-/** A box that may be maintained now; the smallest goes first. */
+/** A box that may be maintained now. */
 struct Candidate {
 	Millis deadline;        ///< When it must have been maintained.
-	uint32_t job_units = 0; ///< What runs on it: moves that its drain would cost.
+	uint32_t job_units = 0; ///< Units of its jobs, which a drain would move.
 	Box *box = nullptr;     ///< The box in the draft.
 };
 
-/** What is to be maintained in one availability zone of a pool. */
+/** Boxes to be maintained in one availability zone of a pool. */
 struct ZoneQueue {
 	ZoneName zone;                     ///< The zone.
-	std::vector<Candidate> candidates; ///< Boxes due in it.
-	uint32_t active = 0;               ///< Boxes of it that hold a permit to be maintained.
-	uint64_t up = 0;                   ///< Slots of it that take work.
-	Millis deadline;                   ///< The nearest deadline.
-	bool stopped = false;              ///< A box of this zone's wave failed after its reboot.
+	std::vector<Candidate> candidates; ///< Boxes that may be maintained now, best first once sorted.
+	uint32_t active = 0;               ///< Boxes of the zone with a permit for maintenance.
+	uint64_t up = 0;                   ///< Slots of the zone's boxes that take work.
+	Millis deadline;                   ///< The earliest deadline of the candidates.
+	bool stopped = false;              ///< Whether a box of this zone's wave failed its checks after the reboot.
 };
 
 /**
- * @param fleet The state.
+ * @param fleet The fleet's state.
  * @param box A box.
  * @return Units of jobs placed on it.
  */
@@ -110,11 +110,11 @@
 }
 
 /**
- * Sorts a pool's boxes into one queue a zone.
+ * Sorts a pool's boxes into one queue per zone.
  * @param pool The pool.
- * @param fleet The state.
- * @param policy Cycle and leads.
- * @return Queues: zones with a wave under way first, then by deadline.
+ * @param fleet The fleet's state.
+ * @param policy Policy, of which cycle and leads are used.
+ * @return Queues: zones with a wave in progress first, then zones with more slots, then by deadline.
  */
 std::vector<ZoneQueue> QueuesOf(PoolPicture &pool, const FleetState &fleet, const PlannerPolicy &policy)
 {
@@ -126,16 +126,16 @@
 		queue.up += TakesWork(box) ? box.slots.Value() : 0;
 		const bool failed_its_wave = box.state == BoxState::BS_SET_ASIDE && box.strikes == 0;
 		queue.stopped = queue.stopped || failed_its_wave;
-		const bool can_go =
+		const bool may_be_maintained =
 				box.state == BoxState::BS_SERVING && box.permit == PermitId() && box.purpose == PermitPurpose::PP_NONE;
-		if (!can_go) {
+		if (!may_be_maintained) {
 			continue;
 		}
 		Candidate it{std::max(box.last_maintained, box.registered) + policy.cycle, JobUnitsOn(fleet, box.name), &box};
 		const Millis lead = it.job_units == 0 ? std::max(policy.lead, policy.idle_lead) : policy.lead;
-		const bool again_too_soon =
+		const bool maintained_recently =
 				box.last_maintained > Millis(0) && box.last_maintained + Millis(policy.cycle.Value() / 2) > fleet.time;
-		if (again_too_soon || it.deadline - lead > fleet.time) {
+		if (maintained_recently || it.deadline - lead > fleet.time) {
 			continue;
 		}
 		queue.deadline = queue.candidates.empty() ? it.deadline : std::min(queue.deadline, it.deadline);
@@ -152,7 +152,7 @@
 			sorted.push_back(std::move(queue));
 		}
 	}
-	/* A box out of the largest zone costs least: what must survive is the loss of that zone. */
+	/* A box of the largest zone costs least capacity: the pool must be able to lose that zone anyway. */
 	std::ranges::stable_sort(sorted, [](const ZoneQueue &a, const ZoneQueue &b) {
 		return std::make_tuple(a.active == 0, -static_cast<int64_t>(a.up), a.deadline) <
 			   std::make_tuple(b.active == 0, -static_cast<int64_t>(b.up), b.deadline);
@@ -161,11 +161,11 @@
 }
 
 /**
- * Whether a pool must wait for its canary: nothing of it was maintained in this round yet.
+ * Tells whether a pool still needs a canary: no box of it was maintained in this round yet.
  * @param pool The pool.
- * @param fleet The state.
- * @param policy Cycle.
- * @return Whether one box at most may be down by plan.
+ * @param fleet The fleet's state.
+ * @param policy Policy, of which the cycle is used.
+ * @return Whether at most one box may be under maintenance.
  */
 bool NeedsCanary(const PoolPicture &pool, const FleetState &fleet, const PlannerPolicy &policy)
 {
@@ -177,9 +177,9 @@
 
 /**
  * @param pool The pool.
- * @return Availability zones with boxes under maintenance.
+ * @return Number of availability zones with boxes under maintenance.
  */
-uint32_t ZonesUnderWay(const PoolPicture &pool)
+uint32_t ZonesInProgress(const PoolPicture &pool)
 {
 	std::set<ZoneName> zones;
 	for (const Box &box : pool.boxes) {
@@ -191,21 +191,21 @@
 }
 
 /**
- * Grants permits in one zone of a pool as far as the budgets go.
+ * Grants permits in one zone of a pool as far as the budgets allow.
  * @param pool The pool.
  * @param queue The zone's queue.
- * @param limit Most permits.
- * @param[out] proposals The grants.
- * @return Permits granted.
+ * @param limit Maximum number of permits.
+ * @param[out] proposals Gets the grants.
+ * @return Number of permits granted.
  */
-size_t GrantIn(const PoolPicture &pool, const ZoneQueue &queue, size_t limit, std::vector<Proposal> &proposals)
+size_t GrantInZone(const PoolPicture &pool, const ZoneQueue &queue, size_t limit, std::vector<Proposal> &proposals)
 {
 	size_t granted = 0;
 	for (const Candidate &it : queue.candidates) {
 		if (granted >= limit) {
 			break;
 		}
-		/* A box that takes no work costs no budget; it is rebooted first of all, that may heal it. */
+		/* A box that takes no work costs no budget. It is rebooted at once, which may repair it. */
 		if (TakesWork(*it.box) && !CheckBudget(pool, *it.box, false).Ok()) {
 			continue;
 		}
@@ -236,7 +236,7 @@
 	policy.move_gain_percent = 50;
 	policy.failure_grace = Millis(1 * MS_PER_HOUR);
 	policy.blocked_lead = Millis(7 * MS_PER_DAY);
-	policy.zones_at_once = UINT32_MAX;
+	policy.max_zones_in_maintenance = UINT32_MAX;
 	return policy;
 }
 
@@ -247,7 +247,7 @@
 		if (box.state != BoxState::BS_DRAINING || (zone != nullptr && box.zone != *zone)) {
 			continue;
 		}
-		if (Proposal step = StepEmptied(fleet, box, inputs); step) {
+		if (Proposal step = MakeEmptiedStep(fleet, box, inputs); step) {
 			proposals.push_back(std::move(step));
 		}
 	}
@@ -284,7 +284,7 @@
 			if (!can_return || FloorsHold(CapacityOf(pool), floors, true)) {
 				continue;
 			}
-			proposals.push_back(Step(box, BoxStepKind::BK_WITHDRAW));
+			proposals.push_back(MakeStep(box, BoxStepKind::BK_WITHDRAW));
 			box.state = BoxState::BS_SERVING;
 		}
 	}
@@ -301,12 +301,12 @@
 			continue;
 		}
 		const size_t limit = canary ? 1 : pool.boxes.size();
-		uint32_t zones = ZonesUnderWay(pool);
+		uint32_t zones = ZonesInProgress(pool);
 		for (const ZoneQueue &queue : QueuesOf(pool, fleet, policy)) {
-			if (queue.active == 0 && zones >= (canary ? 1 : policy.zones_at_once)) {
+			if (queue.active == 0 && zones >= (canary ? 1 : policy.max_zones_in_maintenance)) {
 				break;
 			}
-			const size_t granted = GrantIn(pool, queue, limit, proposals);
+			const size_t granted = GrantInZone(pool, queue, limit, proposals);
 			zones += granted > 0 && queue.active == 0 ? 1 : 0;
 		}
 	}
@@ -317,16 +317,17 @@
 {
 	std::vector<Proposal> proposals = PlanList(fleet, inputs.list);
 	PoolDraft draft = PicturesOf(fleet);
-	const auto take = [&](std::vector<Proposal> more) { std::ranges::move(more, std::back_inserter(proposals)); };
+	const auto append = [&](std::vector<Proposal> more) { std::ranges::move(more, std::back_inserter(proposals)); };
 	std::vector<Proposal> withdrawals = PlanWithdrawals(draft);
 	const bool withdrew = !withdrawals.empty();
-	take(std::move(withdrawals));
-	take(PlanSteps(fleet, inputs));
-	take(PlanDrains(fleet, nullptr, inputs));
-	/* While failures press, nothing new goes down; moves into short pools come first otherwise. */
+	append(std::move(withdrawals));
+	append(PlanSteps(fleet, inputs));
+	append(PlanDrains(fleet, nullptr, inputs));
+	/* While failures make withdrawals necessary, no new permits are granted. Moves to pools that are short come before
+	 * maintenance. */
 	if (!withdrew) {
-		take(PlanMoves(draft, fleet.time, policy, inputs.observed));
-		take(PlanMaintenance(draft, fleet, policy));
+		append(PlanMoves(draft, fleet.time, policy, inputs.observed));
+		append(PlanMaintenance(draft, fleet, policy));
 	}
 	return proposals;
 }
