--- a/src/upkeep/fleet_owner.cpp
+++ b/src/upkeep/fleet_owner.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_owner.cpp The one node that gives orders to machines. */
+/** @file fleet_owner.cpp The node that gives orders to machines: polls the fleet, records orders and sends them. */
 #include "fleet_owner.h"
 
 #include "../store/owner_record.h"
@@ -9,68 +9,71 @@
 
 namespace {
 
-constexpr Millis TICK(200); ///< Between two looks at the fleet; a box is away for 1.5 s and more.
-/** A holder that has recorded nothing for so long records itself: who watches it knows that it lives. */
-constexpr Millis CONFIRM_EVERY(150); ///< With TICK, 0.35 s is the longest gap.
-constexpr Millis CONFIRM_FOR(900);   ///< Orders leave this long after their record was sent at most; a slow store takes
-									 ///< 500 ms.
-constexpr Millis TURN_SLACK(1300);   ///< On top of the gap between two holders: CONFIRM_FOR, and calls under way.
-constexpr Millis PUBLISH_AGAIN(500); ///< Before a report that didn't get through is tried again.
+constexpr Millis POLL_INTERVAL(200); ///< Time between two polls of the fleet; a box is away for at least 1.5 s.
+/** After this time without any record, the holder writes its own record, so that nodes that watch it see that it is
+ * alive. Together with POLL_INTERVAL, the longest gap is 0.35 s. */
+constexpr Millis CONFIRM_INTERVAL(150);
+constexpr Millis MAX_RECORD_TIME(900); ///< Orders are dropped when their record took longer; a slow log takes 500 ms.
+/** Added to the gap between two holders: covers MAX_RECORD_TIME, and calls in flight. */
+constexpr Millis ORDER_GAP_MARGIN(1300);
+constexpr Millis PUBLISH_RETRY_DELAY(500); ///< Delay before a report that wasn't published is retried.
 
-const PartitionId FLEET{"keyed.fleet", 0};
+const PartitionId FLEET_PARTITION{"keyed.fleet", 0};
 
-/** Key of the record that maintenance of a box has begun. */
-std::string KeyOf(uint64_t wave, const BoxName &box)
+/** @return Key of the record that maintenance of a box has begun. @param wave The wave. @param box The box. */
+std::string MaintenanceKey(uint64_t wave, const BoxName &box)
 {
 	return std::to_string(wave) + "/" + box.Value();
 }
 
 } // namespace
 
-FleetOwner::FleetOwner(const FleetOwnerContext &parts)
-		: parts(parts), desk(WaveLimits{}), movers(PoolLimits{}), turns(parts.turn_gap + TURN_SLACK)
+FleetOwner::FleetOwner(const FleetOwnerContext &context)
+		: context(context), wave_planner(WaveLimits{}), pool_balancer(PoolLimits{}),
+		  recent_orders(context.turn_gap + ORDER_GAP_MARGIN)
 {
 }
 
 FleetOwner::~FleetOwner()
 {
-	this->parts.scheduler.Cancel(this->timer);
+	this->context.scheduler.Cancel(this->timer);
 }
 
 void FleetOwner::Start()
 {
-	this->claim = std::make_unique<PartitionClaim>(
-			this->parts.scheduler, this->parts.log, this->parts.events,
-			ClaimSpec{this->parts.address, FLEET, this->parts.group, this->parts.wanted, true, this->parts.watches});
-	this->claim->Start([this](const ClaimedPartition &claimed) { this->Run(claimed); });
+	this->claim =
+			std::make_unique<PartitionClaim>(this->context.scheduler, this->context.log, this->context.events,
+											 ClaimSpec{this->context.address, FLEET_PARTITION, this->context.group,
+													   this->context.should_claim, true, this->context.should_watch});
+	this->claim->Start([this](const ClaimedPartition &claimed) { this->OnClaimed(claimed); });
 }
 
-void FleetOwner::Run(const ClaimedPartition &claimed)
+void FleetOwner::OnClaimed(const ClaimedPartition &claimed)
 {
 	std::ranges::for_each(claimed.records, [this](const auto &it) { this->Restore(it.first, it.second); });
 	std::ranges::for_each(claimed.spare, [this](const auto &it) { this->Restore(it.first, it.second); });
 	this->epoch = claimed.number.epoch;
 	this->fence = FenceToken(claimed.number.epoch);
 	this->ledger.Begin(this->epoch);
-	this->journal = std::make_unique<PairedJournal>(this->parts.scheduler, this->parts.log, this->parts.events,
-													JournalPair{FLEET, SparePartitionOf(FLEET),
+	this->journal = std::make_unique<PairedJournal>(this->context.scheduler, this->context.log, this->context.events,
+													JournalPair{FLEET_PARTITION, SparePartitionOf(FLEET_PARTITION),
 																[](const std::string &key) {
 																	return SpareKey{key, key != OWNER_KEY};
 																}},
 													claimed.number);
-	this->journal->on_deposed = [this] { this->Lose(); };
+	this->journal->on_deposed = [this] { this->EndOwnership(); };
 	this->Tick();
 }
 
 void FleetOwner::Restore(const std::string &key, const std::string &value)
 {
 	if (OrderLog::Owns(key)) {
-		this->turns.RestoreOrder(key, value, this->parts.scheduler.Now());
+		this->recent_orders.RestoreOrder(key, value, this->context.scheduler.Now());
 		return;
 	}
 	if (ShareLedger::IsLedgerKey(key)) {
 		if (!this->ledger.Restore(key, value)) {
-			this->parts.events.Write("bad_record", {{"topic", FLEET.topic}, {"key", key}});
+			this->context.events.Write("bad_record", {{"topic", FLEET_PARTITION.topic}, {"key", key}});
 		}
 		return;
 	}
@@ -78,20 +81,20 @@
 	const char *end = key.data() + key.size();
 	const auto [rest, ec] = std::from_chars(key.data(), end, wave);
 	if (ec != std::errc() || (rest != end && *rest != '/')) {
-		this->parts.events.Write("bad_record", {{"topic", FLEET.topic}, {"key", key}});
+		this->context.events.Write("bad_record", {{"topic", FLEET_PARTITION.topic}, {"key", key}});
 	} else if (rest == end) {
-		this->desk.RestoreCompleted(wave);
+		this->wave_planner.RestoreCompleted(wave);
 	} else {
-		this->desk.Restore(wave, BoxName(std::string(rest + 1, end)));
+		this->wave_planner.Restore(wave, BoxName(std::string(rest + 1, end)));
 	}
 }
 
-void FleetOwner::Lose()
+void FleetOwner::EndOwnership()
 {
 	if (std::exchange(this->lost, true)) {
 		return;
 	}
-	this->parts.events.Write("fleet_lost", {{"fence", std::to_string(this->fence.Value())}});
+	this->context.events.Write("fleet_lost", {{"fence", std::to_string(this->fence.Value())}});
 	if (this->on_lost) {
 		this->on_lost();
 	}
@@ -99,22 +102,22 @@
 
 void FleetOwner::OnWave(const WaveOrder &wave)
 {
-	this->desk.Add(wave, this->parts.scheduler.Now());
+	this->wave_planner.Add(wave, this->context.scheduler.Now());
 }
 
 void FleetOwner::Release(const std::function<void()> &done)
 {
-	this->parts.scheduler.Cancel(this->timer);
+	this->context.scheduler.Cancel(this->timer);
 	this->claim.reset();
 	if (std::exchange(this->lost, true) || !this->journal) {
 		done();
 		return;
 	}
-	this->parts.events.Write("fleet_released", {{"fence", std::to_string(this->fence.Value())}});
+	this->context.events.Write("fleet_released", {{"fence", std::to_string(this->fence.Value())}});
 	this->journal->on_deposed = done;
-	std::vector<KeyedRecord> records = this->turns.Release(this->parts.scheduler.Now());
+	std::vector<KeyedRecord> records = this->recent_orders.Release(this->context.scheduler.Now());
 	records.push_back(
-			KeyedRecord{OWNER_KEY, EncodeOwner(StoredOwner{this->epoch, this->parts.address, true, Millis(0)})});
+			KeyedRecord{OWNER_KEY, EncodeOwner(StoredOwner{this->epoch, this->context.address, true, Millis(0)})});
 	this->journal->Append(std::move(records), done);
 }
 
@@ -123,95 +126,95 @@
 	if (this->lost) {
 		return;
 	}
-	this->timer = this->parts.scheduler.After(TICK, [this] { this->Tick(); });
-	if (this->pending == 0) {
-		this->Look();
+	this->timer = this->context.scheduler.After(POLL_INTERVAL, [this] { this->Tick(); });
+	if (this->pending_answers == 0) {
+		this->Poll();
 	} else {
-		this->KeepConfirmed();
+		this->ConfirmOwnership();
 	}
 }
 
-void FleetOwner::KeepConfirmed()
+void FleetOwner::ConfirmOwnership()
 {
-	if (this->journal->IdleFor(CONFIRM_EVERY)) {
-		const StoredOwner self{this->epoch, this->parts.address, false, Millis(0)};
+	if (this->journal->IdleFor(CONFIRM_INTERVAL)) {
+		const StoredOwner self{this->epoch, this->context.address, false, Millis(0)};
 		this->journal->Append({KeyedRecord{OWNER_KEY, EncodeOwner(self)}}, [] {
-			/* Nothing waits for it: it shows that this holder lives, or that there is another one. */
+			/* Nothing waits for this record. It shows that this holder is alive, or fails if there is a newer one. */
 		});
 	}
 }
 
 PoolRequest FleetOwner::RequestFor(const ServiceName &pool) const
 {
-	const auto of = [&pool](const std::map<ServiceName, std::set<BoxName>> &all) {
+	const auto boxes_of = [&pool](const std::map<ServiceName, std::set<BoxName>> &all) {
 		const auto it = all.find(pool);
 		return it == all.end() ? std::set<BoxName>() : it->second;
 	};
-	return PoolRequest{of(this->actions.drain), of(this->actions.due), this->lives.EndedIn(pool),
+	return PoolRequest{boxes_of(this->actions.drain), boxes_of(this->actions.due), this->incarnations.EndedIn(pool),
 					   this->ledger.LoanOf(pool)};
 }
 
-void FleetOwner::Look()
+void FleetOwner::Poll()
 {
-	this->lives.RecordKnown(this->view.pools);
+	this->incarnations.RecordKnown(this->view.pools);
 	this->view.pools.clear();
 	this->view.reserves.clear();
-	this->pending = 1;
+	this->pending_answers = 1;
 	for (const JobService &service : this->config.services) {
 		if (service.reserve) {
 			this->view.reserves.insert(service.name);
 			continue;
 		}
-		this->pending++;
-		this->parts.pools.Ask(service.name, this->RequestFor(service.name),
-							  [this, name = service.name,
-							   still = std::weak_ptr<bool>(this->alive)](const std::optional<PoolStatus> &status) {
-								  if (still.expired()) {
-									  return;
-								  }
-								  if (status) {
-									  this->ledger.ApplyReport(name, status->shares);
-									  this->view.pools[name] = *status;
-								  }
-								  this->Answered();
-							  });
+		this->pending_answers++;
+		this->context.pools.Ask(service.name, this->RequestFor(service.name),
+								[this, name = service.name, weak_alive = std::weak_ptr<bool>(this->alive)](
+										const std::optional<PoolStatus> &status) {
+									if (weak_alive.expired()) {
+										return;
+									}
+									if (status) {
+										this->ledger.ApplyReport(name, status->shares);
+										this->view.pools[name] = *status;
+									}
+									this->OnPollAnswer();
+								});
 	}
-	this->parts.machines.List(
-			[this, still = std::weak_ptr<bool>(this->alive)](ResultCode code, const std::vector<MachineRow> &rows) {
-				if (!still.expired()) {
-					this->OnMachines(code, rows);
-				}
-			});
+	this->context.machines.List([this, weak_alive = std::weak_ptr<bool>(this->alive)](
+										ResultCode code, const std::vector<MachineRow> &rows) {
+		if (!weak_alive.expired()) {
+			this->OnMachines(code, rows);
+		}
+	});
 }
 
 void FleetOwner::OnMachines(ResultCode code, const std::vector<MachineRow> &rows)
 {
 	if (code == ResultCode::RC_OK) {
 		this->view.machines = rows;
-		/* Their owners hear of ended lives at once: what ran there waits for it. */
-		for (const ServiceName &pool : this->lives.Update(rows, this->parts.scheduler.Now())) {
-			this->parts.pools.Ask(pool, this->RequestFor(pool), [](const std::optional<PoolStatus> &) {
-				/* The next look asks again. */
+		/* Report ended incarnations to the pools' owners at once: the tasks that ran there wait for it. */
+		for (const ServiceName &pool : this->incarnations.Update(rows, this->context.scheduler.Now())) {
+			this->context.pools.Ask(pool, this->RequestFor(pool), [](const std::optional<PoolStatus> &) {
+				/* The next poll asks again. */
 			});
 		}
 	} else {
-		/* Decisions on an old list would miss boxes that have come back or gone: none are made this time. */
+		/* Don't decide on an old list: it would miss machines that have come back or gone. */
 		this->view.machines.clear();
 	}
-	this->Answered();
+	this->OnPollAnswer();
 }
 
-void FleetOwner::Answered()
+void FleetOwner::OnPollAnswer()
 {
-	if (--this->pending > 0) {
+	if (--this->pending_answers > 0) {
 		return;
 	}
-	this->Lend();
+	this->LendShares();
 	if (!this->view.machines.empty()) {
-		this->Act();
+		this->DecideAndOrder();
 	}
-	/* Behind the orders: their record doesn't wait for this one. */
-	this->KeepConfirmed();
+	/* After the orders, so that their record doesn't wait for this one. */
+	this->ConfirmOwnership();
 }
 
 void FleetOwner::Configure(const JobConfig &config)
@@ -226,10 +229,10 @@
 	this->ledger.Configure(std::move(services));
 }
 
-void FleetOwner::Lend()
+void FleetOwner::LendShares()
 {
 	if (this->lending) {
-		return; /* What was decided before is neither lent nor free yet. */
+		return; /* The previous decision isn't recorded yet: its shares are neither lent nor free. */
 	}
 	std::vector<KeyedRecord> records = this->ledger.Decide();
 	if (records.empty()) {
@@ -237,15 +240,15 @@
 		return;
 	}
 	this->lending = true;
-	this->journal->Append(std::move(records), [this, still = std::weak_ptr<bool>(this->alive)] {
-		if (!still.expired()) {
+	this->journal->Append(std::move(records), [this, weak_alive = std::weak_ptr<bool>(this->alive)] {
+		if (!weak_alive.expired()) {
 			this->lending = false;
 			this->ledger.Commit();
 		}
 	});
 }
 
-void FleetOwner::NotePools() const
+void FleetOwner::LogPools() const
 {
 	for (const auto &[service, pool] : this->view.pools) {
 		int64_t used = 0;
@@ -254,112 +257,113 @@
 			used += it.used_cpu;
 			cpu += it.placing ? it.cpu : 0;
 		});
-		this->parts.events.Write("pool", {{"service", service.Value()},
-										  {"boxes", std::to_string(pool.boxes.size())},
-										  {"placing_cpu", std::to_string(cpu)},
-										  {"used_cpu", std::to_string(used)},
-										  {"waiting_cpu", std::to_string(pool.waiting_cpu)}});
+		this->context.events.Write("pool", {{"service", service.Value()},
+											{"boxes", std::to_string(pool.boxes.size())},
+											{"placing_cpu", std::to_string(cpu)},
+											{"used_cpu", std::to_string(used)},
+											{"waiting_cpu", std::to_string(pool.waiting_cpu)}});
 	}
 }
 
-void FleetOwner::Act()
+void FleetOwner::DecideAndOrder()
 {
-	const Millis now = this->parts.scheduler.Now();
-	this->NotePools();
-	this->desk.SetExcluded(this->movers.Taken());
-	this->actions = this->desk.Decide(this->view, now);
-	const PoolActions moves = this->movers.Decide(this->view, this->desk.Taken(), now);
+	const Millis now = this->context.scheduler.Now();
+	this->LogPools();
+	this->wave_planner.SetExcluded(this->pool_balancer.Taken());
+	this->actions = this->wave_planner.Decide(this->view, now);
+	const PoolActions moves = this->pool_balancer.Decide(this->view, this->wave_planner.Taken(), now);
 	for (const auto &[pool, boxes] : moves.drain) {
 		this->actions.drain[pool].insert(boxes.begin(), boxes.end());
 	}
 	std::vector<PlannedOrder> planned;
 	for (const auto &[box, wave] : this->actions.maintain) {
-		this->Plan(planned, box, wave, ServiceName());
+		this->PlanOrder(planned, box, wave, ServiceName());
 	}
 	for (const PoolMove &it : moves.moves) {
-		this->Plan(planned, it.box, std::nullopt, it.to);
+		this->PlanOrder(planned, it.box, std::nullopt, it.to);
 	}
-	const bool tidy = this->turns.HasExpired(now) && !this->journal->Busy();
-	if (!this->recording && (!planned.empty() || tidy)) {
-		this->Record(planned);
+	const bool cleanup_due = this->recent_orders.HasExpired(now) && !this->journal->Busy();
+	if (!this->recording && (!planned.empty() || cleanup_due)) {
+		this->RecordAndSend(planned);
 	}
 	std::ranges::for_each(this->actions.completed, [this](uint64_t wave) { this->Publish(wave, true); });
 }
 
-void FleetOwner::Plan(std::vector<PlannedOrder> &planned, const BoxName &box, std::optional<uint64_t> wave,
-					  const ServiceName &to) const
+void FleetOwner::PlanOrder(std::vector<PlannedOrder> &planned, const BoxName &box, std::optional<uint64_t> wave,
+						   const ServiceName &to) const
 {
 	const auto row = std::ranges::find(this->view.machines, box, &MachineRow::box);
-	if (row != this->view.machines.end() && this->turns.MayOrder(box, this->parts.scheduler.Now())) {
+	if (row != this->view.machines.end() && this->recent_orders.MayOrder(box, this->context.scheduler.Now())) {
 		planned.push_back(PlannedOrder{*row, wave, to});
 	}
 }
 
-void FleetOwner::Record(const std::vector<PlannedOrder> &planned)
+void FleetOwner::RecordAndSend(const std::vector<PlannedOrder> &planned)
 {
 	std::set<BoxName> boxes;
 	std::ranges::for_each(planned, [&boxes](const PlannedOrder &it) { boxes.insert(it.row.box); });
-	const Millis sent = this->parts.scheduler.Now();
+	const Millis sent = this->context.scheduler.Now();
 	this->recording = true;
-	this->journal->Append(
-			this->turns.RecordOrders(boxes, sent), [this, planned, sent, still = std::weak_ptr<bool>(this->alive)] {
-				if (still.expired()) {
-					return;
-				}
-				this->recording = false;
-				const Millis took = this->parts.scheduler.Now() - sent;
-				if (this->lost || took > CONFIRM_FOR) {
-					/* Another holder may give orders by now. They are decided anew. */
-					this->parts.events.Write("orders_too_late", {{"orders", std::to_string(planned.size())},
-																 {"took_ms", std::to_string(took.Value())}});
-					return;
-				}
-				for (const PlannedOrder &it : planned) {
-					if (it.wave) {
-						this->Maintain(it.row, *it.wave);
-					} else {
-						this->Move(it.row, it.to);
-					}
-				}
-			});
+	this->journal->Append(this->recent_orders.RecordOrders(boxes, sent),
+						  [this, planned, sent, weak_alive = std::weak_ptr<bool>(this->alive)] {
+							  if (weak_alive.expired()) {
+								  return;
+							  }
+							  this->recording = false;
+							  const Millis took = this->context.scheduler.Now() - sent;
+							  if (this->lost || took > MAX_RECORD_TIME) {
+								  /* Another holder may give orders by now. Drop these; the next poll decides again. */
+								  this->context.events.Write("orders_too_late",
+															 {{"orders", std::to_string(planned.size())},
+															  {"took_ms", std::to_string(took.Value())}});
+								  return;
+							  }
+							  for (const PlannedOrder &it : planned) {
+								  if (it.wave) {
+									  this->Maintain(it.row, *it.wave);
+								  } else {
+									  this->Move(it.row, it.to);
+								  }
+							  }
+						  });
 }
 
 void FleetOwner::Move(const MachineRow &row, const ServiceName &to)
 {
 	const PoolMove move{row.box, to};
-	this->movers.RecordOrder(move, this->parts.scheduler.Now());
-	this->parts.events.Write("move_ordered", {{"box", move.box.Value()},
-											  {"from", row.pool.Value()},
-											  {"to", move.to.Value()},
-											  {"fence", std::to_string(this->fence.Value())}});
-	this->parts.machines.Move(
-			move.box, move.to, ControlLease{this->parts.name, this->fence},
-			[this, move, from = row.pool, still = std::weak_ptr<bool>(this->alive)](ControlOutcome outcome) {
-				if (still.expired()) {
+	this->pool_balancer.RecordOrder(move, this->context.scheduler.Now());
+	this->context.events.Write("move_ordered", {{"box", move.box.Value()},
+												{"from", row.pool.Value()},
+												{"to", move.to.Value()},
+												{"fence", std::to_string(this->fence.Value())}});
+	this->context.machines.Move(
+			move.box, move.to, ControlLease{this->context.name, this->fence},
+			[this, move, from = row.pool, weak_alive = std::weak_ptr<bool>(this->alive)](ControlOutcome outcome) {
+				if (weak_alive.expired()) {
 					return;
 				}
-				this->movers.RecordOutcome(move, from, outcome);
+				this->pool_balancer.RecordOutcome(move, from, outcome);
 				if (outcome != ControlOutcome::CO_DONE) {
-					this->parts.events.Write("not_moved", {{"box", move.box.Value()},
-														   {"outcome", std::to_string(static_cast<int>(outcome))}});
+					this->context.events.Write("not_moved", {{"box", move.box.Value()},
+															 {"outcome", std::to_string(static_cast<int>(outcome))}});
 				}
 				if (outcome == ControlOutcome::CO_FENCED) {
-					this->Lose();
+					this->EndOwnership();
 				}
 			});
 }
 
 void FleetOwner::Maintain(const MachineRow &row, uint64_t wave)
 {
-	this->desk.RecordOrder(row.box, wave, row.id, this->parts.scheduler.Now());
-	this->parts.events.Write("maintenance_ordered", {{"box", row.box.Value()},
-													 {"wave", std::to_string(wave)},
-													 {"pool", row.pool.Value()},
-													 {"fence", std::to_string(this->fence.Value())}});
-	this->parts.machines.Maintain(
-			row.box, wave, ControlLease{this->parts.name, this->fence},
-			[this, box = row.box, wave, still = std::weak_ptr<bool>(this->alive)](ControlOutcome outcome) {
-				if (!still.expired()) {
+	this->wave_planner.RecordOrder(row.box, wave, row.id, this->context.scheduler.Now());
+	this->context.events.Write("maintenance_ordered", {{"box", row.box.Value()},
+													   {"wave", std::to_string(wave)},
+													   {"pool", row.pool.Value()},
+													   {"fence", std::to_string(this->fence.Value())}});
+	this->context.machines.Maintain(
+			row.box, wave, ControlLease{this->context.name, this->fence},
+			[this, box = row.box, wave, weak_alive = std::weak_ptr<bool>(this->alive)](ControlOutcome outcome) {
+				if (!weak_alive.expired()) {
 					this->OnMaintained(box, wave, outcome);
 				}
 			});
@@ -367,17 +371,17 @@
 
 void FleetOwner::OnMaintained(const BoxName &box, uint64_t wave, ControlOutcome outcome)
 {
-	this->desk.RecordOutcome(box, wave, outcome);
+	this->wave_planner.RecordOutcome(box, wave, outcome);
 	if (outcome == ControlOutcome::CO_DONE) {
-		this->journal->Append({KeyedRecord{KeyOf(wave, box), std::string("1")}}, [] {
-			/* Nothing waits for it: without the record, the next owner only asks once more. */
+		this->journal->Append({KeyedRecord{MaintenanceKey(wave, box), std::string("1")}}, [] {
+			/* Nothing waits for this record. Without it, the next owner orders the maintenance again. */
 		});
 		return;
 	}
-	this->parts.events.Write("maintenance_not_begun",
-							 {{"box", box.Value()}, {"outcome", std::to_string(static_cast<int>(outcome))}});
+	this->context.events.Write("maintenance_not_begun",
+							   {{"box", box.Value()}, {"outcome", std::to_string(static_cast<int>(outcome))}});
 	if (outcome == ControlOutcome::CO_FENCED) {
-		this->Lose();
+		this->EndOwnership();
 	}
 }
 
@@ -386,22 +390,23 @@
 	if (!this->publishing.insert(wave).second) {
 		return;
 	}
-	this->parts.reports.Publish(wave, completed, [this, wave, still = std::weak_ptr<bool>(this->alive)](bool done) {
-		if (still.expired()) {
-			return;
-		}
-		if (!done) {
-			this->parts.scheduler.After(PUBLISH_AGAIN, [this, wave, still] {
-				if (!still.expired()) {
-					this->publishing.erase(wave);
+	this->context.reports.Publish(
+			wave, completed, [this, wave, weak_alive = std::weak_ptr<bool>(this->alive)](bool done) {
+				if (weak_alive.expired()) {
+					return;
 				}
+				if (!done) {
+					this->context.scheduler.After(PUBLISH_RETRY_DELAY, [this, wave, weak_alive] {
+						if (!weak_alive.expired()) {
+							this->publishing.erase(wave);
+						}
+					});
+					return;
+				}
+				this->context.events.Write("wave_completed", {{"wave", std::to_string(wave)}});
+				this->wave_planner.MarkReported(wave);
+				this->journal->Append({KeyedRecord{std::to_string(wave), std::string("completed")}}, [] {
+					/* Nothing waits for this record. Without it, the next owner publishes the report again. */
+				});
 			});
-			return;
-		}
-		this->parts.events.Write("wave_completed", {{"wave", std::to_string(wave)}});
-		this->desk.MarkReported(wave);
-		this->journal->Append({KeyedRecord{std::to_string(wave), std::string("completed")}}, [] {
-			/* Nothing waits for it: without the record, the next owner reports once more. */
-		});
-	});
 }
--- a/src/upkeep/fleet_owner.h
+++ b/src/upkeep/fleet_owner.h
@@ -1,5 +1,5 @@
-/** @file fleet_owner.h The one node that gives orders to machines: claims that right in the log, and carries out waves.
- */
+/** @file fleet_owner.h The one node that gives orders to machines: claims that right in the log, and carries out
+ * maintenance waves and moves between pools. */
 #ifndef FLEET_OWNER_H
 #define FLEET_OWNER_H
 
@@ -10,113 +10,115 @@
 #include "pool_balancer.h"
 #include "wave_planner.h"
 
-/** What the owner of a pool is told with a question. */
+/** What the fleet owner sends to the owner of a pool with a status request. */
 struct PoolRequest {
-	std::set<BoxName> drain;        ///< Boxes to be emptied, until the next question or for a short time.
-	std::set<BoxName> due;          ///< Boxes that will be emptied later.
-	std::set<BoxIncarnation> ended; ///< Lives that have ended for certain.
-	ShareLoan loan;                 ///< What the ledger of shares lends the service.
+	std::set<BoxName> drain;        ///< Boxes to drain, until the next request or for a short time.
+	std::set<BoxName> due;          ///< Boxes that will be drained later.
+	std::set<BoxIncarnation> ended; ///< Incarnations that have certainly ended.
+	ShareLoan loan;                 ///< Account shares that the ledger lends to the service.
 };
 
-/** Asks the owners of pools. */
+/** Sends requests to the owners of pools. */
 class PoolOwnerClient {
 public:
 	virtual ~PoolOwnerClient() = default;
 
-	/** Asks how a pool stands and has boxes emptied. @param service The pool. @param request What its owner is told.
-	 * @param done Gets the status, or nothing when the owner didn't answer. */
+	/** Requests the status of a pool and tells its owner which boxes to drain. @param service The pool. @param request
+	 * The request. @param done Gets the status, or nothing when the owner didn't answer. */
 	virtual void Ask(const ServiceName &service, const PoolRequest &request,
 					 std::function<void(std::optional<PoolStatus>)> done) = 0;
 };
 
-/** What the fleet's owner needs of its node. */
+/** Dependencies of the fleet owner, given by its node. */
 struct FleetOwnerContext {
-	Scheduler &scheduler;                    ///< Clock and timers.
-	KeyedLog &log;                           ///< The log.
-	MachineControl &machines;                ///< Machines.
-	WaveReporter &reports;                   ///< For operators.
-	PoolOwnerClient &pools;                  ///< Owners of pools.
-	EventLog &events;                        ///< Lines.
-	std::string name;                        ///< This node, as holder of orders.
-	std::string address;                     ///< Where it answers others.
-	Millis turn_gap;                         ///< Time between the last order of one holder and the first of the next.
-	std::string group;                       ///< Group of the nodes that may give orders.
-	std::function<bool()> wanted;            ///< Whether this node is the one to claim when the holder is gone.
-	std::function<bool()> watches = nullptr; ///< Whether it watches the holder beside that one; null for never.
+	Scheduler &scheduler;               ///< Clock and timers.
+	KeyedLog &log;                      ///< The keyed log that holds the fleet's partition.
+	MachineControl &machines;           ///< Machine control.
+	WaveReporter &reports;              ///< Publishes the state of waves for operators.
+	PoolOwnerClient &pools;             ///< Requests to the owners of pools.
+	EventLog &events;                   ///< Event log.
+	std::string name;                   ///< Name of this node, as holder of orders.
+	std::string address;                ///< Address at which this node answers other nodes.
+	Millis turn_gap;                    ///< Least time between the last order of one holder and the next's first.
+	std::string group;                  ///< Group of the nodes that may give orders.
+	std::function<bool()> should_claim; ///< Whether this node should claim the fleet when the holder is gone.
+	std::function<bool()> should_watch =
+			nullptr; ///< Whether it also watches the holder as a second node; null for never.
 };
 
-/** Owns the fleet's orders, from the wish on. Destroying it lets go. */
+/** Owns the fleet's orders, from the start of its claim. Its destructor cancels the timer and gives up the claim. */
 class FleetOwner {
 public:
-	/** @param parts What it needs; outlives this. */
-	explicit FleetOwner(const FleetOwnerContext &parts);
+	/** @param context Dependencies; what they refer to outlives this. */
+	explicit FleetOwner(const FleetOwnerContext &context);
 	~FleetOwner();
 	FleetOwner(const FleetOwner &) = delete;
 	FleetOwner &operator=(const FleetOwner &) = delete;
 
-	/** Begins to claim. */
+	/** Begins to claim the fleet. */
 	void Start();
-	/** Takes a configuration. @param config It. */
+	/** Sets the configuration. @param config The configuration. */
 	void Configure(const JobConfig &config);
-	/** Takes a wave. @param wave It. */
+	/** Adds a maintenance wave. @param wave The wave. */
 	void OnWave(const WaveOrder &wave);
 	/** @return Whether another node holds the fleet. */
 	[[nodiscard]] bool Waiting() const { return !this->journal && this->claim && this->claim->Waiting(); }
 
-	/** Lets go because another node is to own the fleet: gives no more orders, and tells the log. The object may be
-	 * destroyed once `done` was called. @param done Told when the log has it. */
+	/** Releases the fleet to another node: gives no more orders, and records the release in the log. The object may be
+	 * destroyed once `done` was called. @param done Called when the release is recorded, or at once when this node
+	 * doesn't own the fleet. */
 	void Release(const std::function<void()> &done);
 
-	std::function<void()> on_lost; ///< Another node has taken over: this object may be destroyed from a later turn.
+	std::function<void()> on_lost; ///< Called when another node has taken over. Don't destroy this object inside it.
 
 private:
-	/** An order that is decided. */
+	/** An order that was decided and waits for its record. */
 	struct PlannedOrder {
-		MachineRow row;               ///< The box, as last listed.
-		std::optional<uint64_t> wave; ///< Maintenance for this wave; or else a move.
-		ServiceName to;               ///< Where to, for a move.
+		MachineRow row;               ///< The machine, as last listed.
+		std::optional<uint64_t> wave; ///< Wave for which to maintain it; none for a move.
+		ServiceName to;               ///< Target pool of a move.
 	};
 
-	FleetOwnerContext parts;                                    ///< What it needs.
+	FleetOwnerContext context;                                  ///< Dependencies.
 	JobConfig config;                                           ///< The configuration in force.
-	WavePlanner desk;                                           ///< Decides on waves.
-	PoolBalancer movers;                                        ///< Decides on moves.
-	FleetView view;                                             ///< What is known.
-	IncarnationTracker lives;                                   ///< Which boxes have crashed.
+	WavePlanner wave_planner;                                   ///< Decides on maintenance.
+	PoolBalancer pool_balancer;                                 ///< Decides on moves.
+	FleetView view;                                             ///< State of the fleet as of the current poll.
+	IncarnationTracker incarnations;                            ///< Tracks which incarnations have ended.
 	std::unique_ptr<PartitionClaim> claim;                      ///< The claim.
-	std::unique_ptr<PairedJournal> journal;                     ///< Records, once claimed.
+	std::unique_ptr<PairedJournal> journal;                     ///< Writes records; null until claimed.
 	FenceToken fence;                                           ///< Token of this ownership.
-	uint64_t epoch = 0;                                         ///< Of the claim.
-	OrderLog turns;                                             ///< Boxes with recent orders.
-	ShareLedger ledger;                                         ///< What services may use of accounts' maxima.
-	bool lending = false;                                       ///< Whether what it decided is being recorded.
+	uint64_t epoch = 0;                                         ///< Epoch of the claim.
+	OrderLog recent_orders;                                     ///< Boxes with recent orders.
+	ShareLedger ledger;                                         ///< Shares of accounts' maxima, by service.
+	bool lending = false;                                       ///< Whether the ledger's decision is being recorded.
 	bool recording = false;                                     ///< Whether orders wait for their record.
-	bool lost = false;                                          ///< Whether another holder has come.
-	size_t pending = 0;                                         ///< Questions of this tick that are not answered.
-	std::set<uint64_t> publishing;                              ///< Waves being reported.
-	WaveActions actions;                                        ///< Decided last.
+	bool lost = false;                                          ///< Whether the ownership has ended.
+	size_t pending_answers = 0;                                 ///< Requests of this poll without an answer yet.
+	std::set<uint64_t> publishing;                              ///< Waves whose report is being published.
+	WaveActions actions;                                        ///< Actions decided last.
 	TimerId timer;                                              ///< Next tick.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Callbacks hold it weakly; expires with this.
 
-	void Run(const ClaimedPartition &claimed);
+	void OnClaimed(const ClaimedPartition &claimed);
 	void Restore(const std::string &key, const std::string &value);
 	void Tick();
-	void KeepConfirmed();
-	void Look();
+	void ConfirmOwnership();
+	void Poll();
 	[[nodiscard]] PoolRequest RequestFor(const ServiceName &pool) const;
 	void OnMachines(ResultCode code, const std::vector<MachineRow> &rows);
-	void Answered();
-	void Lend();
-	void Act();
-	void Plan(std::vector<PlannedOrder> &planned, const BoxName &box, std::optional<uint64_t> wave,
-			  const ServiceName &to) const;
-	void Record(const std::vector<PlannedOrder> &planned);
+	void OnPollAnswer();
+	void LendShares();
+	void DecideAndOrder();
+	void PlanOrder(std::vector<PlannedOrder> &planned, const BoxName &box, std::optional<uint64_t> wave,
+				   const ServiceName &to) const;
+	void RecordAndSend(const std::vector<PlannedOrder> &planned);
 	void Maintain(const MachineRow &row, uint64_t wave);
 	void OnMaintained(const BoxName &box, uint64_t wave, ControlOutcome outcome);
 	void Move(const MachineRow &row, const ServiceName &to);
-	void NotePools() const;
+	void LogPools() const;
 	void Publish(uint64_t wave, bool completed);
-	void Lose();
+	void EndOwnership();
 };
 
 #endif /* FLEET_OWNER_H */
--- a/src/upkeep/fleet_view.cpp
+++ b/src/upkeep/fleet_view.cpp
@@ -1,33 +1,33 @@
-/** @file fleet_view.cpp Index of what is known of the fleet. */
+/** @file fleet_view.cpp Index of a snapshot of the fleet. */
 #include "fleet_view.h"
 
 FleetIndex::FleetIndex(const FleetView &view)
 {
 	for (const MachineRow &row : view.machines) {
-		this->rows.emplace(row.box.Value(), &row);
-		this->sizes[row.pool]++;
+		this->machines_by_name.emplace(row.box.Value(), &row);
+		this->pool_sizes[row.pool]++;
 	}
 	for (const auto &[pool, status] : view.pools) {
 		for (const PoolBox &box : status.boxes) {
-			this->statuses.emplace(box.incarnation.id.Value(), Told{&pool, &box});
+			this->boxes_by_id.emplace(box.incarnation.id.Value(), ReportedBox{&pool, &box});
 		}
 	}
 }
 
-const MachineRow *FleetIndex::Row(const BoxName &box) const
+const MachineRow *FleetIndex::FindMachine(const BoxName &box) const
 {
-	const auto it = this->rows.find(box.Value());
-	return it == this->rows.end() ? nullptr : it->second;
+	const auto it = this->machines_by_name.find(box.Value());
+	return it == this->machines_by_name.end() ? nullptr : it->second;
 }
 
-const PoolBox *FleetIndex::Status(const MachineRow &row) const
+const PoolBox *FleetIndex::FindBox(const MachineRow &row) const
 {
-	const auto it = this->statuses.find(row.id.Value());
-	return it == this->statuses.end() || *it->second.pool != row.pool ? nullptr : it->second.box;
+	const auto it = this->boxes_by_id.find(row.id.Value());
+	return it == this->boxes_by_id.end() || *it->second.pool != row.pool ? nullptr : it->second.box;
 }
 
-size_t FleetIndex::Size(const ServiceName &pool) const
+size_t FleetIndex::PoolSize(const ServiceName &pool) const
 {
-	const auto it = this->sizes.find(pool);
-	return it == this->sizes.end() ? 0 : it->second;
+	const auto it = this->pool_sizes.find(pool);
+	return it == this->pool_sizes.end() ? 0 : it->second;
 }
--- a/src/upkeep/fleet_view.h
+++ b/src/upkeep/fleet_view.h
@@ -1,4 +1,4 @@
-/** @file fleet_view.h What is known of the fleet at one look, and an index of it. */
+/** @file fleet_view.h A snapshot of the fleet's machines and pools, and an index of it. */
 #ifndef FLEET_VIEW_H
 #define FLEET_VIEW_H
 
@@ -9,39 +9,39 @@
 #include <string_view>
 #include <unordered_map>
 
-/** What is known of the fleet. */
+/** A snapshot of the fleet. */
 struct FleetView {
-	std::vector<MachineRow> machines;        ///< All machines, newly listed.
-	std::map<ServiceName, PoolStatus> pools; ///< Pools, as their owners see them; absent when unknown.
-	std::set<ServiceName> reserves;          ///< Pools whose boxes are off.
+	std::vector<MachineRow> machines;        ///< All machines, as just listed.
+	std::map<ServiceName, PoolStatus> pools; ///< Status of pools, as their owners report it; absent when unknown.
+	std::set<ServiceName> reserves;          ///< Reserve pools, whose boxes are switched off.
 };
 
 /**
- * Finds machines and boxes of a view by name. Made once a look, since a search through all machines for each box
- * grows with boxes times boxes.
+ * Finds machines and boxes of a view by name. Built once for each decision: a linear search through all machines for
+ * each box would be quadratic in the number of boxes.
  */
 class FleetIndex {
 public:
-	/** @param view The view; outlives this and stays as it is. */
+	/** @param view The view; outlives this and isn't changed meanwhile. */
 	explicit FleetIndex(const FleetView &view);
 
-	/** @return A machine, or null. @param box Its name. */
-	[[nodiscard]] const MachineRow *Row(const BoxName &box) const;
-	/** @return A machine's box as its pool's owner sees it, or null. @param row The machine. */
-	[[nodiscard]] const PoolBox *Status(const MachineRow &row) const;
-	/** @return Machines in a pool. @param pool The pool. */
-	[[nodiscard]] size_t Size(const ServiceName &pool) const;
+	/** @return The machine, or null. @param box Its name. */
+	[[nodiscard]] const MachineRow *FindMachine(const BoxName &box) const;
+	/** @return A machine's box as the owner of the machine's pool reports it, or null. @param row The machine. */
+	[[nodiscard]] const PoolBox *FindBox(const MachineRow &row) const;
+	/** @return Number of machines in a pool. @param pool The pool. */
+	[[nodiscard]] size_t PoolSize(const ServiceName &pool) const;
 
 private:
-	/** A box, and the pool whose owner told of it. */
-	struct Told {
+	/** A box, and the pool whose owner reports it. */
+	struct ReportedBox {
 		const ServiceName *pool; ///< The pool.
 		const PoolBox *box;      ///< The box.
 	};
 
-	std::unordered_map<std::string_view, const MachineRow *> rows; ///< By name.
-	std::unordered_map<std::string_view, Told> statuses;           ///< By id: each is in one pool.
-	std::map<ServiceName, size_t> sizes;                           ///< By pool.
+	std::unordered_map<std::string_view, const MachineRow *> machines_by_name; ///< Machines by name.
+	std::unordered_map<std::string_view, ReportedBox> boxes_by_id; ///< Boxes by agent id; each is in one pool.
+	std::map<ServiceName, size_t> pool_sizes;                      ///< Number of machines by pool.
 };
 
 #endif /* FLEET_VIEW_H */
--- a/src/upkeep/incarnation_tracker.cpp
+++ b/src/upkeep/incarnation_tracker.cpp
@@ -1,4 +1,4 @@
-/** @file incarnation_tracker.cpp Which lives of boxes have ended. */
+/** @file incarnation_tracker.cpp Finds out which incarnations of boxes have ended. */
 #include "incarnation_tracker.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis TOLD_FOR(5000); ///< An ended life is told for so long: questions to owners get lost.
+constexpr Millis REPORT_PERIOD(5000); ///< How long an ended incarnation is reported, since requests get lost.
 
 } // namespace
 
@@ -15,7 +15,7 @@
 {
 	for (const PoolStatus &pool : pools | std::views::values) {
 		std::ranges::for_each(pool.boxes, [this](const PoolBox &it) {
-			BoxIncarnation &newest = this->known[it.incarnation.id];
+			BoxIncarnation &newest = this->known_incarnations[it.incarnation.id];
 			newest = std::max(newest, it.incarnation);
 		});
 	}
@@ -23,34 +23,36 @@
 
 std::set<ServiceName> IncarnationTracker::Update(const std::vector<MachineRow> &rows, Millis now)
 {
-	std::erase_if(this->ended, [now](const Ended &it) { return now - it.at > TOLD_FOR; });
-	std::set<ServiceName> fresh;
+	std::erase_if(this->recently_ended,
+				  [now](const EndedIncarnation &it) { return now - it.missed_at > REPORT_PERIOD; });
+	std::set<ServiceName> affected_pools;
 	for (const MachineRow &row : rows) {
 		const bool runs = !row.id.Value().empty();
-		/* A machine on its way, or listed without an agent while it is up, says nothing of the one before. */
+		/* A machine that moves, or is up but listed without an agent, says nothing about the agent before. */
 		if (!runs && row.state != MachineState::MS_DOWN) {
 			continue;
 		}
-		const auto before = this->last.find(row.box);
-		if (before != this->last.end() && before->second.id != row.id) {
-			if (const auto incarnation = this->known.find(before->second.id); incarnation != this->known.end()) {
-				fresh.insert(before->second.pool);
-				this->ended.push_back(Ended{incarnation->second, before->second.pool, now});
-				this->known.erase(incarnation);
+		const auto before = this->last_listed.find(row.box);
+		if (before != this->last_listed.end() && before->second.id != row.id) {
+			if (const auto incarnation = this->known_incarnations.find(before->second.id);
+				incarnation != this->known_incarnations.end()) {
+				affected_pools.insert(before->second.pool);
+				this->recently_ended.push_back(EndedIncarnation{incarnation->second, before->second.pool, now});
+				this->known_incarnations.erase(incarnation);
 			}
-			this->last.erase(before);
+			this->last_listed.erase(before);
 		}
 		if (runs) {
-			this->last[row.box] = Listed{row.id, row.pool};
+			this->last_listed[row.box] = ListedAgent{row.id, row.pool};
 		}
 	}
-	return fresh;
+	return affected_pools;
 }
 
 std::set<BoxIncarnation> IncarnationTracker::EndedIn(const ServiceName &pool) const
 {
 	std::set<BoxIncarnation> out;
-	for (const Ended &it : this->ended) {
+	for (const EndedIncarnation &it : this->recently_ended) {
 		if (it.pool == pool) {
 			out.insert(it.incarnation);
 		}
--- a/src/upkeep/incarnation_tracker.h
+++ b/src/upkeep/incarnation_tracker.h
@@ -1,4 +1,4 @@
-/** @file incarnation_tracker.h Which lives of boxes have ended, by what the machines' control lists. */
+/** @file incarnation_tracker.h Finds out which incarnations of boxes have ended, from the lists of machine control. */
 #ifndef INCARNATION_TRACKER_H
 #define INCARNATION_TRACKER_H
 
@@ -9,39 +9,40 @@
 #include <set>
 
 /**
- * Compares each list of machines with the one before it. A box that has crashed is away for seconds, and until it is
- * back, or its lease has lapsed, its owner can't know that nothing runs there any more. A list that was asked for later
- * tells it at once: a machine that is down runs nothing. The list names agents by their ids alone, and an agent may
- * start again under its id: so only the life that its owner knew before the list was asked for is told to have ended.
+ * Compares each list of machines with the one before it. A crashed box is away for seconds, and until it is back or its
+ * lease has expired, the owner of its pool can't know that nothing runs there any more. A list requested later shows it
+ * at once: a machine that is down runs nothing. The list names agents by id only, and an agent may restart under the
+ * same id. So only the incarnation that the pool's owner knew before the list was requested is reported as ended.
  */
 class IncarnationTracker {
 public:
-	/** Takes the lives that owners know, before the next list is asked for. @param pools As they have told. */
+	/** Records the incarnations that owners of pools know, before the next list is requested. @param pools Status of
+	 * the pools, as their owners reported it. */
 	void RecordKnown(const std::map<ServiceName, PoolStatus> &pools);
-	/** Takes a list. @param rows The machines, asked for after the list before was answered. @param now The time.
-	 * @return Pools of the lives that have ended since. */
+	/** Compares a new list with the one before. @param rows The machines, requested after the list before was answered.
+	 * @param now The time. @return Pools with incarnations that have ended since. */
 	std::set<ServiceName> Update(const std::vector<MachineRow> &rows, Millis now);
-	/** @return Lives of a pool that have ended lately. @param pool The pool. */
+	/** @return Incarnations of a pool that have ended recently. @param pool The pool. */
 	[[nodiscard]] std::set<BoxIncarnation> EndedIn(const ServiceName &pool) const;
 
 private:
-	/** An agent that was listed. */
-	struct Listed {
+	/** An agent as last listed. */
+	struct ListedAgent {
 		BoxId id;         ///< Its id.
 		ServiceName pool; ///< Pool that its machine was in.
 	};
 
-	/** A life that has ended. */
-	struct Ended {
-		BoxIncarnation incarnation; ///< It.
+	/** An incarnation that has ended. */
+	struct EndedIncarnation {
+		BoxIncarnation incarnation; ///< The incarnation.
 		ServiceName pool;           ///< Pool that its machine was in.
-		Millis at;                  ///< When it was first missed.
+		Millis missed_at;           ///< When it was first found missing.
 	};
 
-	std::map<BoxName, Listed> last; ///< Agent listed last, by machine.
-	std::map<BoxId, BoxIncarnation>
-			known;            ///< Newest lives that owners have told of before the last list was asked for.
-	std::vector<Ended> ended; ///< Lives that have ended lately.
+	std::map<BoxName, ListedAgent> last_listed; ///< Agent last listed, by machine.
+	/** Newest incarnations that owners had reported before the last list was requested. */
+	std::map<BoxId, BoxIncarnation> known_incarnations;
+	std::vector<EndedIncarnation> recently_ended; ///< Incarnations that have ended recently.
 };
 
 #endif /* INCARNATION_TRACKER_H */
--- a/src/upkeep/order_log.cpp
+++ b/src/upkeep/order_log.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-constexpr std::string_view PREFIX = "turn/"; ///< Before the name of a box in the key of its record.
-constexpr const char *UNKNOWN = "-";         ///< Value of a record whose holder goes on giving orders.
+constexpr std::string_view PREFIX = "turn/"; ///< Prefix of a record's key, before the name of the box.
+constexpr const char *NO_END_TIME = "-";     ///< Value of a record while its holder gives orders.
 
+/** @return Key of a box's record. @param box The box. */
 std::string KeyOf(const BoxName &box)
 {
 	return std::string(PREFIX) + box.Value();
@@ -24,39 +25,41 @@
 
 void OrderLog::RestoreOrder(const std::string &key, const std::string &value, Millis now)
 {
-	/* Without a time its holder didn't let go by itself: an order may have left just now. */
+	/* A value without a time means that the holder didn't release the fleet: its last order may be recent. */
 	int64_t left = this->gap.Value();
 	std::from_chars(value.data(), value.data() + value.size(), left);
-	/* The owner's two partitions may both have one: the later end is the safe one. */
+	/* Both partitions of the owner may have a record of the box: the later time is the safe one. */
 	const Millis until = now + std::min(Millis(left), this->gap);
-	Turn &turn = this->turns.try_emplace(BoxName(key.substr(PREFIX.size())), Turn{until, true}).first->second;
-	turn.until = std::max(turn.until, until);
+	LastOrder &order =
+			this->last_orders.try_emplace(BoxName(key.substr(PREFIX.size())), LastOrder{until, true}).first->second;
+	order.until = std::max(order.until, until);
 }
 
 bool OrderLog::MayOrder(const BoxName &box, Millis now) const
 {
-	const auto it = this->turns.find(box);
-	return it == this->turns.end() || !it->second.other || now >= it->second.until;
+	const auto it = this->last_orders.find(box);
+	return it == this->last_orders.end() || !it->second.by_previous_holder || now >= it->second.until;
 }
 
 bool OrderLog::HasExpired(Millis now) const
 {
-	return std::ranges::any_of(this->turns | std::views::values, [now](const Turn &it) { return now >= it.until; });
+	return std::ranges::any_of(this->last_orders | std::views::values,
+							   [now](const LastOrder &it) { return now >= it.until; });
 }
 
 std::vector<KeyedRecord> OrderLog::RecordOrders(const std::set<BoxName> &boxes, Millis now)
 {
 	std::vector<KeyedRecord> records;
-	std::erase_if(this->turns, [&](const auto &it) {
-		const bool over = now >= it.second.until && !boxes.contains(it.first);
-		if (over) {
+	std::erase_if(this->last_orders, [&](const auto &it) {
+		const bool expired = now >= it.second.until && !boxes.contains(it.first);
+		if (expired) {
 			records.push_back(KeyedRecord{KeyOf(it.first), std::nullopt});
 		}
-		return over;
+		return expired;
 	});
 	for (const BoxName &box : boxes) {
-		this->turns[box] = Turn{now + this->gap, false};
-		records.push_back(KeyedRecord{KeyOf(box), std::string(UNKNOWN)});
+		this->last_orders[box] = LastOrder{now + this->gap, false};
+		records.push_back(KeyedRecord{KeyOf(box), std::string(NO_END_TIME)});
 	}
 	return records;
 }
@@ -64,8 +67,8 @@
 std::vector<KeyedRecord> OrderLog::Release(Millis now) const
 {
 	std::vector<KeyedRecord> records;
-	for (const auto &[box, turn] : this->turns) {
-		const Millis left = turn.until - now;
+	for (const auto &[box, order] : this->last_orders) {
+		const Millis left = order.until - now;
 		records.push_back(
 				KeyedRecord{KeyOf(box), left > Millis(0) ? std::optional(std::to_string(left.Value())) : std::nullopt});
 	}
--- a/src/upkeep/order_log.h
+++ b/src/upkeep/order_log.h
@@ -1,5 +1,4 @@
-/** @file order_log.h Which boxes have had orders a moment ago, as the log tells the next holder of the fleet's orders.
- * Pure. */
+/** @file order_log.h Boxes with recent orders, recorded for the next holder of the fleet. No I/O. */
 #ifndef ORDER_LOG_H
 #define ORDER_LOG_H
 
@@ -9,39 +8,40 @@
 #include <set>
 
 /**
- * Orders of two holders for one box have to lie apart. So a holder records the boxes before its orders leave, and the
- * next one waits for these alone: 3.4 s without any order passed after each silent holder when it had to wait for all.
+ * Keeps a minimum time between the orders of two holders for one box. A holder records the boxes before it sends their
+ * orders, and the next holder waits for these boxes only. When it had to wait for all boxes, no order was given for
+ * 3.4 s after each holder that disappeared without releasing the fleet.
  */
 class OrderLog {
 public:
-	/** @param gap Time between the last order of one holder for a box and the first of the next. */
+	/** @param gap Minimum time between the last order of one holder for a box and the first of the next holder. */
 	explicit OrderLog(Millis gap) : gap(gap) {}
 
-	/** @return Whether a record's key is one of these. @param key The key. */
+	/** @return Whether a key belongs to a record of this class. @param key The key. */
 	static bool Owns(const std::string &key);
-	/** Takes over a record of the holder before. @param key Its key. @param value Its value. @param now When this
-	 * holder has claimed. */
+	/** Restores a record of the previous holder. @param key The record's key. @param value The record's value. @param
+	 * now When this holder has claimed the fleet. */
 	void RestoreOrder(const std::string &key, const std::string &value, Millis now);
-	/** @return Whether a box may have an order of this holder. @param box The box. @param now The time. */
+	/** @return Whether this holder may give an order for a box. @param box The box. @param now The time. */
 	[[nodiscard]] bool MayOrder(const BoxName &box, Millis now) const;
-	/** Notes orders that are about to leave. @param boxes For which boxes. @param now The time.
-	 * @return What is to be recorded before: these boxes, and those whose record has had its time. */
+	/** Registers orders that are about to be sent. @param boxes Boxes of the orders. @param now The time.
+	 * @return Records to write before the orders are sent: these boxes, and the removal of expired ones. */
 	std::vector<KeyedRecord> RecordOrders(const std::set<BoxName> &boxes, Millis now);
-	/** Lets go: no order of this holder leaves any more. @param now The time. @return What is to be recorded: for how
-	 * long the next holder has to wait for each box. */
+	/** Ends this holder's orders: it sends none after this call. @param now The time. @return Records to write: how
+	 * many ms the next holder has to wait for each box; expired ones are removed. */
 	[[nodiscard]] std::vector<KeyedRecord> Release(Millis now) const;
-	/** @return Whether records have had their time. @param now The time. */
+	/** @return Whether any record has expired. @param now The time. */
 	[[nodiscard]] bool HasExpired(Millis now) const;
 
 private:
-	/** A box with an order. */
-	struct Turn {
-		Millis until;       ///< From then on another holder may give orders for it.
-		bool other = false; ///< Whether it is an earlier holder's.
+	/** The last order for a box. */
+	struct LastOrder {
+		Millis until;                    ///< From this time on another holder may give orders for the box.
+		bool by_previous_holder = false; ///< Whether a previous holder gave the order.
 	};
 
-	Millis gap;                    ///< Time between orders of two holders.
-	std::map<BoxName, Turn> turns; ///< Boxes that have a record.
+	Millis gap;                               ///< Minimum time between orders of two holders.
+	std::map<BoxName, LastOrder> last_orders; ///< Last orders by box, for boxes that have a record.
 };
 
 #endif /* ORDER_LOG_H */
--- a/src/upkeep/pool_balancer.cpp
+++ b/src/upkeep/pool_balancer.cpp
@@ -1,4 +1,4 @@
-/** @file pool_balancer.cpp Moves of boxes between pools and the reserve. */
+/** @file pool_balancer.cpp Decides on moves of boxes between pools and the reserve. */
 #include "pool_balancer.h"
 
 #include <algorithm>
@@ -6,32 +6,32 @@
 
 namespace {
 
-constexpr double GROWTH_WEIGHT = 0.5; ///< Of the newest change in the smoothed one: about two looks count.
+constexpr double GROWTH_WEIGHT = 0.5; ///< Weight of the newest change of demand: about two decisions count.
 
 } // namespace
 
-void PoolBalancer::NoteArrivals(const FleetIndex &index, Millis now)
+void PoolBalancer::DropEndedMoves(const FleetIndex &index, Millis now)
 {
-	std::erase_if(this->leaving, [&](const auto &it) {
-		const MachineRow *row = index.Row(it.first);
+	std::erase_if(this->pending_moves, [&](const auto &it) {
+		const MachineRow *row = index.FindMachine(it.first);
 		const bool gone = row == nullptr;
 		const bool there = !gone && row->pool == it.second.to && row->state == MachineState::MS_UP;
-		const Millis patience = it.second.ordered ? this->limits.move_within : this->limits.empty_within;
-		return gone || there || now - it.second.since > patience;
+		const Millis timeout = it.second.ordered ? this->limits.move_timeout : this->limits.drain_timeout;
+		return gone || there || now - it.second.since > timeout;
 	});
 }
 
 std::set<BoxName> PoolBalancer::Taken() const
 {
 	std::set<BoxName> out;
-	std::ranges::copy(this->leaving | std::views::keys, std::inserter(out, out.end()));
+	std::ranges::copy(this->pending_moves | std::views::keys, std::inserter(out, out.end()));
 	return out;
 }
 
 double PoolBalancer::GrowthOf(const ServiceName &pool, double cpu, Millis now)
 {
-	const auto [it, first] = this->asked.try_emplace(pool, Asked{now, cpu, 0});
-	Asked &last = it->second;
+	const auto [it, first] = this->demand.try_emplace(pool, DemandSample{now, cpu, 0});
+	DemandSample &last = it->second;
 	const auto span = static_cast<double>((now - last.at).Value());
 	if (!first && span > 0) {
 		last.growth += GROWTH_WEIGHT * ((cpu - last.cpu) / span - last.growth);
@@ -55,27 +55,27 @@
 	Balance balance;
 	balance.pool = pool;
 	for (const PoolBox &box : status.boxes) {
-		/* The report of a box that has moved away stands for a while. */
-		const MachineRow *row = index.Row(box.box);
+		/* The owner's report of a box that has moved away remains for a while. */
+		const MachineRow *row = index.FindMachine(box.box);
 		const bool here = row != nullptr && row->pool == pool && row->id == box.incarnation.id;
-		if (here && box.placing && !this->leaving.contains(box.box) && !taken.contains(box.box)) {
+		if (here && box.placing && !this->pending_moves.contains(box.box) && !taken.contains(box.box)) {
 			balance.have += box.cpu;
 			if (box.tasks == 0) {
 				balance.empty.push_back(&box);
 			} else if (box.used_cpu == box.late_cpu) {
-				balance.loose.push_back(&box);
+				balance.late_only.push_back(&box);
 			}
 		}
 	}
-	for (const auto &[box, way] : this->leaving) {
-		const MachineRow *row = index.Row(box);
-		balance.have += way.to == pool && row != nullptr ? row->capacity.cpu : 0;
+	for (const auto &[box, pending_move] : this->pending_moves) {
+		const MachineRow *row = index.FindMachine(box);
+		balance.have += pending_move.to == pool && row != nullptr ? row->capacity.cpu : 0;
 	}
 	return balance;
 }
 
-std::vector<PoolBalancer::Balance> PoolBalancer::Balances(const FleetView &view, const FleetIndex &index,
-														  const std::set<BoxName> &taken, Millis now)
+std::vector<PoolBalancer::Balance> PoolBalancer::ComputeBalances(const FleetView &view, const FleetIndex &index,
+																 const std::set<BoxName> &taken, Millis now)
 {
 	std::vector<Balance> out;
 	for (const auto &[service, status] : view.pools) {
@@ -86,68 +86,70 @@
 			used += it.used_cpu - it.late_cpu;
 			late += it.late_cpu;
 		}
-		const double asks =
+		const double base_demand =
 				static_cast<double>(used) + static_cast<double>(status.waiting_cpu) * this->limits.waiting_weight;
-		const double ahead = this->GrowthOf(service, asks, now) * static_cast<double>(this->limits.ahead.Value());
-		const double room = static_cast<double>(used) * (this->limits.used_headroom - 1.0);
-		balance.want = std::max(static_cast<int64_t>(asks + ahead + room), this->FloorOf(view));
+		const double expected_growth =
+				this->GrowthOf(service, base_demand, now) * static_cast<double>(this->limits.growth_horizon.Value());
+		const double headroom = static_cast<double>(used) * (this->limits.headroom_factor - 1.0);
+		balance.want = std::max(static_cast<int64_t>(base_demand + expected_growth + headroom), this->FloorOf(view));
 		balance.late = late + status.late_cpu;
 		out.push_back(std::move(balance));
 	}
 	return out;
 }
 
-void PoolBalancer::Choose(const BoxName &box, const ServiceName &to, Millis now)
+void PoolBalancer::BeginMove(const BoxName &box, const ServiceName &to, Millis now)
 {
-	this->leaving[box] = Leaving{to, now, false};
+	this->pending_moves[box] = PendingMove{to, now, false};
 }
 
-bool PoolBalancer::MayGive(const Balance &other, const Balance &needy, const PoolBox &box)
+bool PoolBalancer::CanDonate(const Balance &other, const Balance &receiver, const PoolBox &box)
 {
-	/* What can't be on time any more is done where there is room: it keeps no box from jobs that can be on time, and
-	 * gets none that another pool has use for. */
-	const bool on_time = needy.have < needy.want;
+	/* Jobs that can't be on time any more run where there is room. They keep no box from jobs that can be on time, and
+	 * get no box that another pool has use for. */
+	const bool on_time = receiver.have < receiver.want;
 	return other.have - box.cpu >= other.want + (on_time ? 0 : other.late);
 }
 
-void PoolBalancer::TakeFrom(Balance &other, std::vector<const PoolBox *> &boxes, Balance &needy, Millis now)
+void PoolBalancer::TakeBoxes(Balance &other, std::vector<const PoolBox *> &boxes, Balance &receiver, Millis now)
 {
-	while (!boxes.empty() && needy.have < needy.want + needy.late && MayGive(other, needy, *boxes.back())) {
+	while (!boxes.empty() && receiver.have < receiver.want + receiver.late &&
+		   CanDonate(other, receiver, *boxes.back())) {
 		const PoolBox *box = boxes.back();
 		boxes.pop_back();
 		other.have -= box->cpu;
-		needy.have += box->cpu;
-		this->Choose(box->box, needy.pool, now);
+		receiver.have += box->cpu;
+		this->BeginMove(box->box, receiver.pool, now);
 	}
 }
 
-void PoolBalancer::Supply(Balance &needy, std::vector<Balance> &all, const FleetView &view,
-						  const std::set<BoxName> &taken, Millis now)
+void PoolBalancer::CoverShortage(Balance &receiver, std::vector<Balance> &all, const FleetView &view,
+								 const std::set<BoxName> &taken, Millis now)
 {
-	/* From the reserve first: nobody misses those. */
+	/* Boxes of the reserve first: no pool uses them. */
 	for (const MachineRow &row : view.machines) {
 		const bool free = view.reserves.contains(row.pool) && row.state == MachineState::MS_UP &&
-						  !taken.contains(row.box) && !this->leaving.contains(row.box) &&
-						  !this->refused.contains({row.pool, needy.pool});
-		if (free && needy.have < needy.want + needy.late) {
-			this->Choose(row.box, needy.pool, now);
-			needy.have += row.capacity.cpu;
+						  !taken.contains(row.box) && !this->pending_moves.contains(row.box) &&
+						  !this->incompatible_pools.contains({row.pool, receiver.pool});
+		if (free && receiver.have < receiver.want + receiver.late) {
+			this->BeginMove(row.box, receiver.pool, now);
+			receiver.have += row.capacity.cpu;
 		}
 	}
 	for (Balance &other : all) {
-		if (other.pool != needy.pool && !this->refused.contains({other.pool, needy.pool})) {
-			this->TakeFrom(other, other.empty, needy, now);
+		if (other.pool != receiver.pool && !this->incompatible_pools.contains({other.pool, receiver.pool})) {
+			this->TakeBoxes(other, other.empty, receiver, now);
 		}
 	}
 	for (Balance &other : all) {
-		const bool on_time = needy.have < needy.want;
-		if (on_time && other.pool != needy.pool && !this->refused.contains({other.pool, needy.pool})) {
-			this->TakeFrom(other, other.loose, needy, now);
+		const bool on_time = receiver.have < receiver.want;
+		if (on_time && other.pool != receiver.pool && !this->incompatible_pools.contains({other.pool, receiver.pool})) {
+			this->TakeBoxes(other, other.late_only, receiver, now);
 		}
 	}
 }
 
-int64_t PoolBalancer::Unneeded(const std::vector<Balance> &all, Millis now)
+int64_t PoolBalancer::SurplusCpu(const std::vector<Balance> &all, Millis now)
 {
 	int64_t have = 0;
 	int64_t need = 0;
@@ -155,63 +157,63 @@
 		have += it.have;
 		need += it.want + it.late;
 	}
-	this->watched_since = this->watched_since.value_or(now);
-	/* Looks that asked for less than a later one can't be the most any more. */
-	while (!this->needs.empty() && this->needs.back().cpu <= need) {
-		this->needs.pop_back();
+	this->first_decided_at = this->first_decided_at.value_or(now);
+	/* An earlier decision with less demand than a later one can't be the maximum any more. */
+	while (!this->total_demands.empty() && this->total_demands.back().cpu <= need) {
+		this->total_demands.pop_back();
 	}
-	this->needs.push_back(Need{now, need});
-	while (now - this->needs.front().at > this->limits.unneeded_for) {
-		this->needs.pop_front();
+	this->total_demands.push_back(TotalDemand{now, need});
+	while (now - this->total_demands.front().at > this->limits.release_after) {
+		this->total_demands.pop_front();
 	}
-	const bool known = now - *this->watched_since >= this->limits.unneeded_for;
-	return known ? have - this->needs.front().cpu : 0;
+	const bool known = now - *this->first_decided_at >= this->limits.release_after;
+	return known ? have - this->total_demands.front().cpu : 0;
 }
 
-void PoolBalancer::SendAway(Balance &rich, const FleetView &view, int64_t &unneeded, Millis now)
+void PoolBalancer::MoveToReserve(Balance &source, const FleetView &view, int64_t &surplus, Millis now)
 {
 	if (view.reserves.empty()) {
 		return;
 	}
 	const ServiceName reserve = *view.reserves.begin();
-	while (!rich.empty.empty() && rich.empty.back()->cpu <= unneeded &&
-		   rich.have - rich.empty.back()->cpu >= rich.want + rich.late &&
-		   !this->refused.contains({rich.pool, reserve})) {
-		rich.have -= rich.empty.back()->cpu;
-		unneeded -= rich.empty.back()->cpu;
-		this->Choose(rich.empty.back()->box, reserve, now);
-		rich.empty.pop_back();
+	while (!source.empty.empty() && source.empty.back()->cpu <= surplus &&
+		   source.have - source.empty.back()->cpu >= source.want + source.late &&
+		   !this->incompatible_pools.contains({source.pool, reserve})) {
+		source.have -= source.empty.back()->cpu;
+		surplus -= source.empty.back()->cpu;
+		this->BeginMove(source.empty.back()->box, reserve, now);
+		source.empty.pop_back();
 	}
 }
 
 PoolActions PoolBalancer::Decide(const FleetView &view, const std::set<BoxName> &taken, Millis now)
 {
 	const FleetIndex index(view);
-	this->NoteArrivals(index, now);
-	std::vector<Balance> all = this->Balances(view, index, taken, now);
-	/* The neediest first. */
+	this->DropEndedMoves(index, now);
+	std::vector<Balance> all = this->ComputeBalances(view, index, taken, now);
+	/* The pool with the largest shortage first. */
 	std::ranges::sort(all, std::ranges::greater{}, [](const Balance &it) { return it.want - it.have; });
 	for (Balance &it : all) {
 		if (it.have < it.want + it.late) {
-			this->Supply(it, all, view, taken, now);
+			this->CoverShortage(it, all, view, taken, now);
 		}
 	}
-	int64_t unneeded = this->Unneeded(all, now);
-	std::ranges::for_each(all, [&](Balance &it) { this->SendAway(it, view, unneeded, now); });
+	int64_t surplus = this->SurplusCpu(all, now);
+	std::ranges::for_each(all, [&](Balance &it) { this->MoveToReserve(it, view, surplus, now); });
 	PoolActions actions;
-	for (const auto &[box, way] : this->leaving) {
-		const MachineRow *row = index.Row(box);
-		if (way.ordered || row == nullptr) {
+	for (const auto &[box, pending_move] : this->pending_moves) {
+		const MachineRow *row = index.FindMachine(box);
+		if (pending_move.ordered || row == nullptr) {
 			continue;
 		}
 		if (view.reserves.contains(row->pool)) {
-			actions.moves.push_back(PoolMove{box, way.to});
+			actions.moves.push_back(PoolMove{box, pending_move.to});
 			continue;
 		}
 		actions.drain[row->pool].insert(box);
-		const PoolBox *status = index.Status(*row);
+		const PoolBox *status = index.FindBox(*row);
 		if (status != nullptr && status->tasks == 0 && !status->placing) {
-			actions.moves.push_back(PoolMove{box, way.to});
+			actions.moves.push_back(PoolMove{box, pending_move.to});
 		}
 	}
 	return actions;
@@ -219,16 +221,16 @@
 
 void PoolBalancer::RecordOrder(const PoolMove &move, Millis now)
 {
-	this->leaving[move.box] = Leaving{move.to, now, true};
+	this->pending_moves[move.box] = PendingMove{move.to, now, true};
 }
 
 void PoolBalancer::RecordOutcome(const PoolMove &move, const ServiceName &from, ControlOutcome outcome)
 {
 	if (outcome == ControlOutcome::CO_REJECTED) {
-		this->refused.emplace(from, move.to);
+		this->incompatible_pools.emplace(from, move.to);
 	}
-	const bool under_way = outcome == ControlOutcome::CO_DONE || outcome == ControlOutcome::CO_UNKNOWN;
-	if (!under_way) {
-		this->leaving.erase(move.box);
+	const bool in_progress = outcome == ControlOutcome::CO_DONE || outcome == ControlOutcome::CO_UNKNOWN;
+	if (!in_progress) {
+		this->pending_moves.erase(move.box);
 	}
 }
--- a/src/upkeep/wave_planner.cpp
+++ b/src/upkeep/wave_planner.cpp
@@ -1,4 +1,4 @@
-/** @file wave_planner.cpp Maintenance waves: which box is emptied and taken down next. */
+/** @file wave_planner.cpp Decides which boxes of a maintenance wave are drained and taken down next. */
 #include "wave_planner.h"
 
 #include <algorithm>
@@ -6,7 +6,8 @@
 
 namespace {
 
-constexpr double LATE_AFTER = 2.0 / 3.0; ///< Part of a wave's time after which more boxes of a pool may go at once.
+/** Fraction of a wave's time after which more boxes of a pool may be drained or down at once. */
+constexpr double LATE_FRACTION = 2.0 / 3.0;
 
 } // namespace
 
@@ -31,27 +32,27 @@
 	});
 }
 
-void WavePlanner::NoteReturns(const FleetView &view, const FleetIndex &index, Millis now)
+void WavePlanner::UpdateDownBoxes(const FleetView &view, const FleetIndex &index, Millis now)
 {
-	for (auto &[box, order] : this->down) {
-		const MachineRow *row = index.Row(box);
-		order.seen = order.seen || (row != nullptr && row->state != MachineState::MS_UP);
+	for (auto &[box, down_box] : this->down) {
+		const MachineRow *row = index.FindMachine(box);
+		down_box.seen_down = down_box.seen_down || (row != nullptr && row->state != MachineState::MS_UP);
 	}
 	std::erase_if(this->down, [&](const auto &it) {
-		const MachineRow *row = index.Row(it.first);
+		const MachineRow *row = index.FindMachine(it.first);
 		if (row == nullptr) {
 			return true;
 		}
-		const bool back = row->state == MachineState::MS_UP && (it.second.seen || row->id != it.second.before);
-		/* An order without an answer may never come; the box is tried again then. */
-		return back || (row->state == MachineState::MS_UP && now - it.second.at > this->limits.forget_down);
+		const bool back = row->state == MachineState::MS_UP && (it.second.seen_down || row->id != it.second.id_before);
+		/* An order without an answer may never be carried out. After the timeout the box is tried again. */
+		return back || (row->state == MachineState::MS_UP && now - it.second.ordered_at > this->limits.down_timeout);
 	});
-	/* Another owner of this desk may have ordered these. */
+	/* A previous owner of the fleet may have ordered these. */
 	for (const MachineRow &row : view.machines) {
 		if (row.state == MachineState::MS_MAINTENANCE && !this->down.contains(row.box)) {
 			for (const auto &[number, wave] : this->waves) {
 				if (std::ranges::count(wave.order.boxes, row.box) > 0) {
-					this->down[row.box] = Down{number, row.id, now, true};
+					this->down[row.box] = DownBox{number, row.id, now, true};
 				}
 			}
 		}
@@ -61,7 +62,7 @@
 size_t WavePlanner::Taken(uint64_t wave) const
 {
 	const auto emptied = std::ranges::count(this->draining | std::views::values, wave);
-	const auto gone = std::ranges::count(this->down | std::views::values, wave, &Down::wave);
+	const auto gone = std::ranges::count(this->down | std::views::values, wave, &DownBox::wave);
 	return static_cast<size_t>(emptied + gone);
 }
 
@@ -69,7 +70,7 @@
 {
 	std::map<ServiceName, size_t> out;
 	const auto count = [&](const BoxName &it) {
-		if (const MachineRow *row = index.Row(it); row != nullptr) {
+		if (const MachineRow *row = index.FindMachine(it); row != nullptr) {
 			out[row->pool]++;
 		}
 	};
@@ -81,7 +82,7 @@
 WaveActions WavePlanner::Decide(const FleetView &view, Millis now)
 {
 	const FleetIndex index(view);
-	this->NoteReturns(view, index, now);
+	this->UpdateDownBoxes(view, index, now);
 	WaveActions actions;
 	for (const auto &[number, wave] : this->waves) {
 		if (!this->completed.contains(number)) {
@@ -89,20 +90,21 @@
 		}
 	}
 	for (const auto &[box, wave] : this->draining) {
-		if (const MachineRow *row = index.Row(box); row != nullptr) {
+		if (const MachineRow *row = index.FindMachine(box); row != nullptr) {
 			actions.drain[row->pool].insert(box);
 		}
 	}
 	return actions;
 }
 
-std::vector<const MachineRow *> WavePlanner::OpenOf(const Wave &wave, const FleetIndex &index, WaveActions &actions)
+std::vector<const MachineRow *> WavePlanner::OpenMachines(const Wave &wave, const FleetIndex &index,
+														  WaveActions &actions)
 {
 	const std::set<BoxName> &done = this->begun[wave.order.number];
 	std::vector<const MachineRow *> open;
 	size_t left = 0;
 	for (const BoxName &box : wave.order.boxes) {
-		const MachineRow *row = index.Row(box);
+		const MachineRow *row = index.FindMachine(box);
 		if (done.contains(box) || row == nullptr) {
 			this->draining.erase(box);
 			continue;
@@ -110,7 +112,7 @@
 		left++;
 		if (row->state != MachineState::MS_UP) {
 			this->draining.erase(box);
-		} else if (!this->down.contains(box) && !this->draining.contains(box) && !this->others.contains(box)) {
+		} else if (!this->down.contains(box) && !this->draining.contains(box) && !this->excluded.contains(box)) {
 			open.push_back(row);
 			actions.due[row->pool].insert(box);
 		}
@@ -121,19 +123,19 @@
 	return open;
 }
 
-void WavePlanner::Empty(const Wave &wave, const std::vector<const MachineRow *> &open, const FleetView &view,
-						const FleetIndex &index, Millis now, WaveActions &actions)
+void WavePlanner::BeginDraining(const Wave &wave, const std::vector<const MachineRow *> &open, const FleetView &view,
+								const FleetIndex &index, Millis now, WaveActions &actions)
 {
 	const bool late = now - wave.since >
-					  Millis(static_cast<int64_t>(static_cast<double>(wave.order.within.Value()) * LATE_AFTER));
-	const double share = late ? this->limits.late_share : this->limits.pool_share;
+					  Millis(static_cast<int64_t>(static_cast<double>(wave.order.within.Value()) * LATE_FRACTION));
+	const double share = late ? this->limits.late_max_down_share : this->limits.max_down_share;
 	std::map<ServiceName, size_t> by_pool = this->TakenByPool(index);
 	size_t taken = this->Taken(wave.order.number);
 	for (const MachineRow *row : open) {
-		const auto in_pool = static_cast<double>(index.Size(row->pool));
-		const auto most = std::max<size_t>(1, static_cast<size_t>(in_pool * share));
-		const bool off = view.reserves.contains(row->pool);
-		if (taken < wave.order.down_max && (off || by_pool[row->pool] < most)) {
+		const auto in_pool = static_cast<double>(index.PoolSize(row->pool));
+		const auto max_taken = std::max<size_t>(1, static_cast<size_t>(in_pool * share));
+		const bool in_reserve = view.reserves.contains(row->pool);
+		if (taken < wave.order.down_max && (in_reserve || by_pool[row->pool] < max_taken)) {
 			this->draining[row->box] = wave.order.number;
 			actions.due[row->pool].erase(row->box);
 			by_pool[row->pool]++;
@@ -145,20 +147,20 @@
 void WavePlanner::DecideWave(const Wave &wave, const FleetView &view, const FleetIndex &index, Millis now,
 							 WaveActions &actions)
 {
-	std::vector<const MachineRow *> open = this->OpenOf(wave, index, actions);
-	/* Boxes that are off come first, then those with the least to move. */
-	const auto weight = [&](const MachineRow *it) {
-		const PoolBox *status = index.Status(*it);
+	std::vector<const MachineRow *> open = this->OpenMachines(wave, index, actions);
+	/* Boxes in a reserve first, then those with the fewest tasks; boxes with an unknown status last. */
+	const auto drain_cost = [&](const MachineRow *it) {
+		const PoolBox *status = index.FindBox(*it);
 		return view.reserves.contains(it->pool) ? -1 : status == nullptr ? INT64_MAX : int64_t{status->tasks};
 	};
-	std::ranges::stable_sort(open, {}, weight);
-	this->Empty(wave, open, view, index, now, actions);
+	std::ranges::stable_sort(open, {}, drain_cost);
+	this->BeginDraining(wave, open, view, index, now, actions);
 	for (const auto &[box, of_wave] : this->draining) {
-		const MachineRow *row = index.Row(box);
-		const PoolBox *status = row == nullptr ? nullptr : index.Status(*row);
-		const bool off = row != nullptr && view.reserves.contains(row->pool);
+		const MachineRow *row = index.FindMachine(box);
+		const PoolBox *status = row == nullptr ? nullptr : index.FindBox(*row);
+		const bool in_reserve = row != nullptr && view.reserves.contains(row->pool);
 		const bool empty = status != nullptr && status->tasks == 0 && !status->placing;
-		if (of_wave == wave.order.number && (off || empty)) {
+		if (of_wave == wave.order.number && (in_reserve || empty)) {
 			actions.maintain.emplace_back(box, of_wave);
 		}
 	}
@@ -175,7 +177,7 @@
 void WavePlanner::RecordOrder(const BoxName &box, uint64_t wave, const BoxId &id, Millis now)
 {
 	this->draining.erase(box);
-	this->down[box] = Down{wave, id, now, false};
+	this->down[box] = DownBox{wave, id, now, false};
 }
 
 void WavePlanner::RecordOutcome(const BoxName &box, uint64_t wave, ControlOutcome outcome)
@@ -186,7 +188,7 @@
 		break;
 	case ControlOutcome::CO_NOT_IN_WAVE:
 	case ControlOutcome::CO_REJECTED:
-		/* The wave can't mean it any more. */
+		/* The box can't be maintained for this wave: count it as begun. */
 		this->begun[wave].insert(box);
 		this->down.erase(box);
 		break;
@@ -196,7 +198,7 @@
 		this->down.erase(box);
 		break;
 	case ControlOutcome::CO_UNKNOWN:
-		/* Counts as down until it is seen. */
+		/* The box counts as down until the list shows its state. */
 		break;
 	}
 }
--- a/src/upkeep/wave_planner.h
+++ b/src/upkeep/wave_planner.h
@@ -1,4 +1,4 @@
-/** @file wave_planner.h Maintenance waves: which box is emptied and taken down next. Pure: it only decides. */
+/** @file wave_planner.h Decides which boxes of a maintenance wave are drained and taken down next. No I/O. */
 #ifndef WAVE_PLANNER_H
 #define WAVE_PLANNER_H
 
@@ -6,81 +6,83 @@
 #include "../jobs/site_feed.h"
 #include "fleet_view.h"
 
-/** Figures of waves. */
+/** Limits of waves. */
 struct WaveLimits {
-	double pool_share = 0.25;          ///< Boxes of a pool that are emptied or down for waves at once, at least one.
-	double late_share = 0.5;           ///< The same once two thirds of a wave's time have passed.
-	Millis forget_down = Millis(8000); ///< A box that was ordered down and is not seen down or back is counted so long.
+	double max_down_share = 0.25;       ///< Fraction of a pool's boxes drained or down for waves at once; at least one.
+	double late_max_down_share = 0.5;   ///< The same after two thirds of a wave's time.
+	Millis down_timeout = Millis(8000); ///< A box ordered down, but seen up all the time, counts as down this long.
 };
 
-/** What the desk wants done now. */
+/** Actions to take now. */
 struct WaveActions {
-	std::map<ServiceName, std::set<BoxName>> drain;     ///< Boxes to be emptied, by pool.
-	std::map<ServiceName, std::set<BoxName>> due;       ///< Boxes that will be emptied later, by pool.
+	std::map<ServiceName, std::set<BoxName>> drain;     ///< Boxes to drain, by pool.
+	std::map<ServiceName, std::set<BoxName>> due;       ///< Boxes that will be drained later, by pool.
 	std::vector<std::pair<BoxName, uint64_t>> maintain; ///< Empty boxes to take down, with their waves.
-	std::vector<uint64_t> completed;                    ///< Waves of which every box has begun.
+	std::vector<uint64_t> completed;                    ///< Waves of which maintenance of every box has begun.
 };
 
-/** Decides on waves. At most so many boxes of a wave are down at once as its order says. */
+/** Decides on maintenance. At most WaveOrder::down_max boxes of a wave are drained or down at once. */
 class WavePlanner {
 public:
-	/** @param limits Figures. */
+	/** @param limits Limits of waves. */
 	explicit WavePlanner(WaveLimits limits) : limits(limits) {}
 
-	/** Takes a wave; one that is known is ignored. @param order It. @param now The time. */
+	/** Adds a wave; a known one is ignored. @param order The wave. @param now The time. */
 	void Add(const WaveOrder &order, Millis now);
-	/** Takes over what is recorded. @param wave The wave. @param box The box, whose maintenance has begun. */
+	/** Restores a record that maintenance of a box has begun. @param wave The wave. @param box The box. */
 	void Restore(uint64_t wave, const BoxName &box) { this->begun[wave].insert(box); }
-	/** Takes over that a wave was reported as completed. @param wave The wave. */
+	/** Restores a record that a wave was reported as completed. @param wave The wave. */
 	void RestoreCompleted(uint64_t wave) { this->completed.insert(wave); }
 
-	/** @return What to do now. @param view The fleet. @param now The time. */
+	/** Decides on maintenance from a new view. @return Actions to take now. @param view The fleet. @param now The time.
+	 */
 	WaveActions Decide(const FleetView &view, Millis now);
-	/** An order is about to leave. @param box The box. @param wave Its wave. @param id Its agent's id. @param now The
-	 * time. */
+	/** Records that an order is about to be sent. @param box The box. @param wave Its wave. @param id Id of its agent.
+	 * @param now The time. */
 	void RecordOrder(const BoxName &box, uint64_t wave, const BoxId &id, Millis now);
-	/** An order has ended. @param box The box. @param wave Its wave. @param outcome How. */
+	/** Records the outcome of an order. @param box The box. @param wave Its wave. @param outcome The outcome. */
 	void RecordOutcome(const BoxName &box, uint64_t wave, ControlOutcome outcome);
-	/** A wave was reported as completed. @param wave The wave. */
+	/** Records that a wave was reported as completed. @param wave The wave. */
 	void MarkReported(uint64_t wave) { this->completed.insert(wave); }
 
-	/** @return Boxes that are being emptied or are down for a wave. */
+	/** @return Boxes that are being drained or are down for a wave. */
 	[[nodiscard]] std::set<BoxName> Taken() const;
-	/** Boxes were chosen for something else: no wave empties them meanwhile. @param boxes Them. */
-	void SetExcluded(const std::set<BoxName> &boxes) { this->others = boxes; }
-	/** @return Whether any wave is under way. */
+	/** Excludes boxes that are chosen for moves: no wave begins to drain them. @param boxes The excluded boxes; they
+	 * replace those of the call before. */
+	void SetExcluded(const std::set<BoxName> &boxes) { this->excluded = boxes; }
+	/** @return Whether any wave isn't completed yet. */
 	[[nodiscard]] bool Active() const;
-	/** @return Whether a box is to be maintained yet. @param box The box. */
+	/** @return Whether maintenance of a box is still to begin. @param box The box. */
 	[[nodiscard]] bool IsDue(const BoxName &box) const;
 
 private:
-	/** A wave. */
+	/** A wave and when it was added. */
 	struct Wave {
-		WaveOrder order; ///< As ordered.
-		Millis since;    ///< When it was heard of.
+		WaveOrder order; ///< The order for it.
+		Millis since;    ///< When it was added.
 	};
 
-	/** A box that was ordered down. */
-	struct Down {
-		uint64_t wave = 0; ///< For which wave.
-		BoxId before;      ///< Its agent's id before; one that comes back may have the same.
-		Millis at;         ///< When it was ordered.
-		bool seen = false; ///< Whether it was seen down.
+	/** A box that was ordered down for maintenance. */
+	struct DownBox {
+		uint64_t wave = 0;      ///< The wave that it is maintained for.
+		BoxId id_before;        ///< Id of its agent before; the restarted agent may have the same.
+		Millis ordered_at;      ///< When the order was given.
+		bool seen_down = false; ///< Whether it was listed as not up since.
 	};
 
-	WaveLimits limits;                           ///< Figures.
-	std::map<uint64_t, Wave> waves;              ///< Waves.
+	WaveLimits limits;                           ///< Limits of waves.
+	std::map<uint64_t, Wave> waves;              ///< Waves by number.
 	std::map<uint64_t, std::set<BoxName>> begun; ///< Boxes whose maintenance has begun, by wave.
 	std::set<uint64_t> completed;                ///< Waves reported as completed.
-	std::map<BoxName, Down> down;                ///< Boxes that are down, or may be.
-	std::map<BoxName, uint64_t> draining;        ///< Boxes being emptied.
-	std::set<BoxName> others;                    ///< Boxes that move meanwhile.
+	std::map<BoxName, DownBox> down;             ///< Boxes that are down for a wave, or may be.
+	std::map<BoxName, uint64_t> draining;        ///< Boxes being drained, with their waves.
+	std::set<BoxName> excluded;                  ///< Boxes excluded because of moves.
 
-	void NoteReturns(const FleetView &view, const FleetIndex &index, Millis now);
+	void UpdateDownBoxes(const FleetView &view, const FleetIndex &index, Millis now);
 	void DecideWave(const Wave &wave, const FleetView &view, const FleetIndex &index, Millis now, WaveActions &actions);
-	std::vector<const MachineRow *> OpenOf(const Wave &wave, const FleetIndex &index, WaveActions &actions);
-	void Empty(const Wave &wave, const std::vector<const MachineRow *> &open, const FleetView &view,
-			   const FleetIndex &index, Millis now, WaveActions &actions);
+	std::vector<const MachineRow *> OpenMachines(const Wave &wave, const FleetIndex &index, WaveActions &actions);
+	void BeginDraining(const Wave &wave, const std::vector<const MachineRow *> &open, const FleetView &view,
+					   const FleetIndex &index, Millis now, WaveActions &actions);
 	[[nodiscard]] size_t Taken(uint64_t wave) const;
 	[[nodiscard]] std::map<ServiceName, size_t> TakenByPool(const FleetIndex &index) const;
 };
