--- a/src/jobs/shard_base.h
+++ b/src/jobs/shard_base.h
@@ -109,7 +109,7 @@
 	/** @return Jobs. */
 	[[nodiscard]] const ShardJobs &Jobs() const { return this->jobs; }
 
-	std::function<void()> on_deposed; ///< A box has seen a higher token. Called last in a turn.
+	std::function<void()> on_superseded; ///< A box has seen a higher token. Called last in a turn.
 	/** Reads what lies in the inbox by now, and calls back once that has been told. Null when there is no inbox. */
 	std::function<void(std::function<void()>)> read_inbox;
 
--- a/src/jobs/shard_owner.cpp
+++ b/src/jobs/shard_owner.cpp
@@ -80,9 +80,9 @@
 			}
 		});
 	};
-	this->journal->on_deposed = let_go;
+	this->journal->on_superseded = let_go;
 	this->journal->on_repeated = [this] { this->shard->OnJournalFree(); };
-	this->shard->on_deposed = let_go;
+	this->shard->on_superseded = let_go;
 	for (const auto &[key, bytes] : claimed.records) {
 		if (key.front() == TAKEN_MARK) {
 			this->loading.push_back(KeyedRecord{key.substr(1), bytes});
@@ -249,7 +249,7 @@
 	const StoredOwner last{this->epoch, this->parts.address, true, this->shard->OtherOwnersLeft()};
 	this->shard.reset();
 	this->journal->on_repeated = nullptr;
-	this->journal->on_deposed = done;
+	this->journal->on_superseded = done;
 	this->journal->Append({KeyedRecord{OWNER_KEY, EncodeOwner(last)}}, done);
 }
 
--- a/src/store/owner_journal.cpp
+++ b/src/store/owner_journal.cpp
@@ -86,8 +86,8 @@
 	case ResultCode::RC_FENCED:
 	case ResultCode::RC_STALE_TERM:
 		/* A sequence that the log doesn't want is as final as a higher epoch: only a new claim gets out of it. */
-		if (this->on_deposed) {
-			this->on_deposed();
+		if (this->on_superseded) {
+			this->on_superseded();
 		}
 		return;
 	case ResultCode::RC_LOG_ANSWER_LOST:
--- a/src/store/owner_journal.h
+++ b/src/store/owner_journal.h
@@ -59,8 +59,8 @@
 	/** @return Appends sent, with repeats. */
 	[[nodiscard]] uint64_t Sendings() const { return this->sendings; }
 
-	std::function<void()> on_deposed; ///< A later owner has claimed the partition.
-	std::function<void()> on_refused; ///< The log has refused a sending; it is repeated after a pause.
+	std::function<void()> on_superseded; ///< A later owner has claimed the partition.
+	std::function<void()> on_refused;    ///< The log has refused a sending; it is repeated after a pause.
 
 private:
 	/** An append that waits for its turn. */
--- a/src/store/paired_journal.cpp
+++ b/src/store/paired_journal.cpp
@@ -29,8 +29,8 @@
 {
 	this->main.on_refused = [this] { this->OnRefused(); };
 	this->spare.on_refused = [this] { this->OnRefused(); };
-	this->main.on_deposed = [this] { this->OnDeposed(); };
-	this->spare.on_deposed = [this] { this->OnDeposed(); };
+	this->main.on_superseded = [this] { this->OnDeposed(); };
+	this->spare.on_superseded = [this] { this->OnDeposed(); };
 }
 
 PairedJournal::~PairedJournal()
@@ -40,8 +40,8 @@
 
 void PairedJournal::OnDeposed()
 {
-	if (!std::exchange(this->deposed, true) && this->on_deposed) {
-		this->on_deposed();
+	if (!std::exchange(this->deposed, true) && this->on_superseded) {
+		this->on_superseded();
 	}
 }
 
--- a/src/store/paired_journal.h
+++ b/src/store/paired_journal.h
@@ -74,7 +74,7 @@
 	/** @return Batches that the spare partition had first. */
 	[[nodiscard]] uint64_t Detours() const { return this->detours; }
 
-	std::function<void()> on_deposed;  ///< A later owner has claimed the partitions. Called once.
+	std::function<void()> on_superseded; ///< A later owner has claimed the partitions. Called once.
 	std::function<void()> on_repeated; ///< Records were repeated to the main partition: nothing is under way any more.
 
 private:
@@ -113,7 +113,7 @@
 	std::map<std::string, uint64_t> repeated; ///< Of those, what its append under way brings.
 	std::set<std::string> droppable;          ///< Keys in the spare partition that can go later.
 	bool around = false;                      ///< Whether the main partition is being passed by.
-	bool deposed = false;                     ///< Whether on_deposed was called.
+	bool deposed = false;                     ///< Whether on_superseded was called.
 	uint64_t detours = 0;                     ///< For Detours().
 	TimerId timer;                            ///< End of the wait for the main partition.
 
--- a/src/upkeep/fleet_owner.cpp
+++ b/src/upkeep/fleet_owner.cpp
@@ -58,7 +58,7 @@
 																	return SpareKey{key, key != OWNER_KEY};
 																}},
 													claimed.number);
-	this->journal->on_deposed = [this] { this->Lose(); };
+	this->journal->on_superseded = [this] { this->Lose(); };
 	this->Tick();
 }
 
@@ -111,7 +111,7 @@
 		return;
 	}
 	this->parts.events.Write("fleet_released", {{"fence", std::to_string(this->fence.Value())}});
-	this->journal->on_deposed = done;
+	this->journal->on_superseded = done;
 	std::vector<KeyedRecord> records = this->turns.Release(this->parts.scheduler.Now());
 	records.push_back(
 			KeyedRecord{OWNER_KEY, EncodeOwner(StoredOwner{this->epoch, this->parts.address, true, Millis(0)})});
