--- a/src/store/group_member.cpp
+++ b/src/store/group_member.cpp
@@ -1,4 +1,4 @@
-/** @file group_member.cpp This node's part in a group. */
+/** @file group_member.cpp Membership of this node in a group. */
 #include "group_member.h"
 
 #include <algorithm>
@@ -6,29 +6,30 @@
 
 namespace {
 
-constexpr int64_t JOINS_PER_SILENCE = 3; ///< Joins within the time after which a silent member is out: two may be lost.
-constexpr Millis JOIN_AGAIN(100);    ///< After a join that failed: the time in which a silent member is out runs on.
-constexpr int64_t MUCH_STRONGER = 2; ///< A node stands by for one with so many times its processor time.
-/** A node stands by for so many stronger ones at least: a single one would have all shards and fall behind.
+constexpr int64_t JOINS_PER_TIMEOUT = 3; ///< Joins sent within one member timeout: two of them may be lost.
+constexpr Millis JOIN_RETRY_DELAY(100);  ///< Delay after a failed join; short, as the member timeout keeps running.
+constexpr int64_t STRONGER_RATIO = 2;    ///< A node with this many times the processor time counts as stronger.
+/** A node goes on standby when at least this many stronger ones hold partitions: a single one would own all shards and
+ * couldn't keep up. */
+constexpr size_t MIN_STRONGER_HOLDERS = 3;
+/** Nodes that have seen stronger ones join only while fewer members hold partitions than there are partitions divided
+ * by this. With half of the partitions left, enough returning strong nodes are assigned some, whatever their number.
+ * Without the limit, fewer than MIN_STRONGER_HOLDERS of 6 strong members beside 20 weak ones held any of 12 partitions.
  */
-constexpr size_t STRONG_ENOUGH = 3;
-/** Nodes that know of stronger ones take part while fewer hold the partitions. At most half: of strong ones that come
- * back enough are then dealt some, whatever their number. Without the limit fewer than STRONG_ENOUGH of 6 strong
- * members beside 20 weak ones held any of 12 partitions (test). */
-constexpr size_t WEAK_PART = 2;
-/** Weak nodes that joined in the same moment see each other within this time: three looks, and one call that fails. */
-constexpr Millis SETTLE_WITHIN(5000);
-/** A node that stands by looks so often whether it is wanted; a look costs a reading call of the store. */
-constexpr Millis LOOK_AGAIN(1000);
-/** While nobody holds anything, or a few stronger ones do, a node waits for this divided by its cores before it joins:
- * stronger ones come first. */
-constexpr int64_t FIRST_JOIN_CORE_MS = 100;
-constexpr int64_t THOUSANDTHS = 1000; ///< In a core.
-constexpr char CPU_MARK = '/';        ///< Between address and processor time in a member's name.
-
-/** @return Members that hold something and have so much processor time. @param cpu Thousandths of a core. @param rows
- * Who holds what. */
-std::set<std::string> MembersWith(int64_t cpu, const std::vector<PartitionHolder> &rows)
+constexpr size_t WEAK_HOLDER_DIVISOR = 2;
+/** Weak nodes that joined at the same moment see each other within this time: three checks and one failed call. */
+constexpr Millis SURPLUS_CHECK_TIME(5000);
+/** Interval at which a node on standby checks whether it is needed; each check costs one read call to the store. */
+constexpr Millis CHECK_INTERVAL(1000);
+/** While no member or too few stronger members hold partitions, a node waits for this time divided by its cores before
+ * it joins, so that stronger nodes join first. */
+constexpr int64_t JOIN_DELAY_CORE_MS = 100;
+constexpr int64_t MILLICORES_PER_CORE = 1000; ///< Thousandths in a core.
+constexpr char CPU_SEPARATOR = '/';           ///< Separates address and processor time in a member name.
+
+/** @return Names of the members that hold a partition and have enough processor time. @param cpu Least processor time,
+ * in thousandths of a core. @param rows Holders of the partitions. */
+std::set<std::string> HoldersWithCpu(int64_t cpu, const std::vector<PartitionHolder> &rows)
 {
 	std::set<std::string> out;
 	for (const PartitionHolder &it : rows) {
@@ -39,28 +40,29 @@
 	return out;
 }
 
-/** @return Members that may hold partitions before a weak node is one too many. @param parts Partitions. */
-size_t WeakMost(size_t parts)
+/** @return Number of partition holders from which on another weak node is surplus. @param parts Number of partitions.
+ */
+size_t MaxWeakHolders(size_t parts)
 {
-	/* Where there are few partitions, so that enough strong ones can still hold one each. */
-	const size_t spared = parts > STRONG_ENOUGH ? parts - STRONG_ENOUGH : 1;
-	return std::max<size_t>(std::min(parts / WEAK_PART, spared), 1);
+	/* With few partitions, leave MIN_STRONGER_HOLDERS of them to strong nodes. */
+	const size_t reserved = parts > MIN_STRONGER_HOLDERS ? parts - MIN_STRONGER_HOLDERS : 1;
+	return std::max<size_t>(std::min(parts / WEAK_HOLDER_DIVISOR, reserved), 1);
 }
 
 } // namespace
 
 std::string MemberNameOf(const GroupPeer &peer)
 {
-	return peer.address + CPU_MARK + std::to_string(peer.cpu);
+	return peer.address + CPU_SEPARATOR + std::to_string(peer.cpu);
 }
 
 GroupPeer ParseMemberName(const std::string &name)
 {
 	GroupPeer peer;
-	const size_t mark = name.find(CPU_MARK);
-	peer.address = name.substr(0, mark);
-	if (mark != std::string::npos) {
-		std::from_chars(name.data() + mark + 1, name.data() + name.size(), peer.cpu);
+	const size_t separator = name.find(CPU_SEPARATOR);
+	peer.address = name.substr(0, separator);
+	if (separator != std::string::npos) {
+		std::from_chars(name.data() + separator + 1, name.data() + name.size(), peer.cpu);
 	}
 	return peer;
 }
@@ -73,16 +75,16 @@
 GroupMember::~GroupMember()
 {
 	this->scheduler.Cancel(this->timer);
-	this->scheduler.Cancel(this->look_timer);
+	this->scheduler.Cancel(this->check_timer);
 }
 
 void GroupMember::Start()
 {
 	this->started_at = this->scheduler.Now();
-	this->LookAround();
+	this->CheckHolders();
 }
 
-void GroupMember::LookAround()
+void GroupMember::CheckHolders()
 {
 	this->log.Holders(this->spec.group, [this, still = std::weak_ptr<bool>(this->alive)](
 												ResultCode code, const std::vector<PartitionHolder> &rows) {
@@ -92,17 +94,17 @@
 	});
 }
 
-bool GroupMember::Needless(const std::vector<PartitionHolder> &rows) const
+bool GroupMember::IsSurplus(const std::vector<PartitionHolder> &rows) const
 {
-	const std::set<std::string> holders = MembersWith(0, rows);
-	const size_t most = WeakMost(this->spec.parts);
+	const std::set<std::string> holders = HoldersWithCpu(0, rows);
+	const size_t most = MaxWeakHolders(this->spec.parts);
 	if (!this->joined || this->parts.empty()) {
 		return holders.size() >= most && !holders.contains(this->name);
 	}
-	if (holders.size() <= most || this->scheduler.Now() >= this->settles_until) {
+	if (holders.size() <= most || this->scheduler.Now() >= this->surplus_check_until) {
 		return false;
 	}
-	/* Several came at the same moment. All of them see the same rows: the strongest stay, by name among equals. */
+	/* Several joined at the same moment. All of them see the same rows: the strongest stay, equals in order of name. */
 	std::vector<std::string> ranked(holders.begin(), holders.end());
 	std::ranges::stable_sort(ranked, std::ranges::greater{},
 							 [](const std::string &it) { return ParseMemberName(it).cpu; });
@@ -112,63 +114,63 @@
 void GroupMember::OnHolders(ResultCode code, const std::vector<PartitionHolder> &rows)
 {
 	const int64_t own = std::max<int64_t>(this->spec.self.cpu, 1);
-	const std::set<std::string> stronger = MembersWith(MUCH_STRONGER * own, rows);
-	if (!stronger.empty() && !std::exchange(this->weak, true)) {
-		this->settles_until = this->scheduler.Now() + SETTLE_WITHIN;
+	const std::set<std::string> stronger = HoldersWithCpu(STRONGER_RATIO * own, rows);
+	if (!stronger.empty() && !std::exchange(this->saw_stronger, true)) {
+		this->surplus_check_until = this->scheduler.Now() + SURPLUS_CHECK_TIME;
 	}
-	if (stronger.size() >= STRONG_ENOUGH) {
-		this->StandBy("stronger", rows);
+	if (stronger.size() >= MIN_STRONGER_HOLDERS) {
+		this->EnterStandby("stronger", rows);
 		return;
 	}
-	if (this->weak && code == ResultCode::RC_OK && this->Needless(rows)) {
-		this->StandBy("enough", rows);
+	if (this->saw_stronger && code == ResultCode::RC_OK && this->IsSurplus(rows)) {
+		this->EnterStandby("enough", rows);
 		return;
 	}
 	if (this->joined) {
 		return;
 	}
-	if (this->standing_by && code != ResultCode::RC_OK) {
-		/* Not known whether the stronger ones are still there; joining would not get through either. */
-		this->look_timer = this->scheduler.After(LOOK_AGAIN, [this] { this->LookAround(); });
+	if (this->standby && code != ResultCode::RC_OK) {
+		/* It isn't known whether the stronger nodes are still there, and a join would fail as well. */
+		this->check_timer = this->scheduler.After(CHECK_INTERVAL, [this] { this->CheckHolders(); });
 		return;
 	}
-	const Millis first(FIRST_JOIN_CORE_MS * THOUSANDTHS / own);
+	const Millis join_delay(JOIN_DELAY_CORE_MS * MILLICORES_PER_CORE / own);
 	const Millis waited = this->scheduler.Now() - this->started_at;
-	/* Also while some stronger ones are there, but not yet enough: after a loss of power one of them may hold all for a
-	 * moment. Members that came too early stayed, since few of 37 nodes hold any of 12 partitions: a queue of 150 boxes
-	 * was then owned by nodes with a quarter of the time, and fell behind for 40 s (one day played, twice). */
-	if ((rows.empty() || !stronger.empty()) && waited < first) {
-		this->look_timer = this->scheduler.After(first - waited, [this] { this->LookAround(); });
+	/* Also wait while some stronger nodes are there, but not yet enough: after a power loss one of them may hold all
+	 * partitions for a moment. Members that joined too early stayed, since few of 37 nodes hold any of 12 partitions: a
+	 * queue of 150 boxes was then owned by nodes with a quarter of the processor time and lagged for 40 s. */
+	if ((rows.empty() || !stronger.empty()) && waited < join_delay) {
+		this->check_timer = this->scheduler.After(join_delay - waited, [this] { this->CheckHolders(); });
 		return;
 	}
-	if (std::exchange(this->standing_by, false)) {
+	if (std::exchange(this->standby, false)) {
 		this->events.Write("group_wanted", {{"group", this->spec.group}, {"holders", std::to_string(rows.size())}});
 	}
 	this->joined = true;
-	this->settles_until = this->scheduler.Now() + SETTLE_WITHIN;
+	this->surplus_check_until = this->scheduler.Now() + SURPLUS_CHECK_TIME;
 	this->Join();
 }
 
-void GroupMember::StandBy(const char *why, const std::vector<PartitionHolder> &rows)
+void GroupMember::EnterStandby(const char *reason, const std::vector<PartitionHolder> &rows)
 {
-	this->look_timer = this->scheduler.After(LOOK_AGAIN, [this] { this->LookAround(); });
-	if (std::exchange(this->standing_by, true)) {
-		/* A claim that was under way may have got something since, which is to be handed over. */
+	this->check_timer = this->scheduler.After(CHECK_INTERVAL, [this] { this->CheckHolders(); });
+	if (std::exchange(this->standby, true)) {
+		/* A claim that was in progress may have succeeded since; its shard has to be handed over. */
 		this->on_answer();
 		return;
 	}
 	this->events.Write("group_stand_by", {{"group", this->spec.group},
-										  {"why", why},
-										  {"holders", std::to_string(MembersWith(0, rows).size())},
+										  {"why", reason},
+										  {"holders", std::to_string(HoldersWithCpu(0, rows).size())},
 										  {"own", std::to_string(this->spec.self.cpu)}});
 	if (!std::exchange(this->joined, false)) {
 		return;
 	}
 	this->scheduler.Cancel(this->timer);
 	this->parts.clear();
-	this->held_at = Millis(-this->spec.silence.Value() - 1);
+	this->last_held_at = Millis(-this->spec.member_timeout.Value() - 1);
 	this->log.Leave(this->spec.group, this->name, [] {
-		/* When the log wasn't told, it notices the silence. */
+		/* If the call is lost, the member timeout removes this node. */
 	});
 	this->on_answer();
 }
@@ -176,7 +178,7 @@
 void GroupMember::Join()
 {
 	const Millis sent = this->scheduler.Now();
-	this->log.Join(this->spec.group, this->name, this->spec.topic, this->spec.silence, this->generation,
+	this->log.Join(this->spec.group, this->name, this->spec.topic, this->spec.member_timeout, this->generation,
 				   [this, sent, still = std::weak_ptr<bool>(this->alive)](const GroupMembership &answer) {
 					   if (!still.expired()) {
 						   this->OnJoined(answer, sent);
@@ -189,15 +191,15 @@
 	if (this->leaving || !this->joined) {
 		return;
 	}
-	const Millis pause(this->spec.silence.Value() / JOINS_PER_SILENCE);
+	const Millis pause(this->spec.member_timeout.Value() / JOINS_PER_TIMEOUT);
 	if (answer.code != ResultCode::RC_OK) {
-		if (!std::exchange(this->lost, true)) {
+		if (!std::exchange(this->join_failed, true)) {
 			this->events.Write("group_lost", {{"group", this->spec.group}, {"code", SymbolOf(answer.code)}});
 		}
-		this->timer = this->scheduler.After(JOIN_AGAIN, [this] { this->Join(); });
+		this->timer = this->scheduler.After(JOIN_RETRY_DELAY, [this] { this->Join(); });
 		return;
 	}
-	if (std::exchange(this->lost, false)) {
+	if (std::exchange(this->join_failed, false)) {
 		this->events.Write("group_regained", {{"group", this->spec.group}});
 	}
 	std::set<uint32_t> now;
@@ -208,7 +210,7 @@
 	this->confirmed_at = sent;
 	this->generation = answer.generation;
 	this->parts = std::move(now);
-	this->held_at = this->parts.empty() ? this->held_at : this->scheduler.Now();
+	this->last_held_at = this->parts.empty() ? this->last_held_at : this->scheduler.Now();
 	if (changed) {
 		std::string list;
 		for (const uint32_t part : this->parts) {
@@ -216,12 +218,12 @@
 		}
 		this->events.Write("group_dealt", {{"generation", std::to_string(this->generation)},
 										   {"partitions", list.empty() ? "-" : list}});
-		/* Who came may be much stronger. */
-		this->scheduler.Cancel(this->look_timer);
-		this->look_timer = this->scheduler.After(LOOK_AGAIN, [this] { this->LookAround(); });
+		/* A new member may be much stronger. */
+		this->scheduler.Cancel(this->check_timer);
+		this->check_timer = this->scheduler.After(CHECK_INTERVAL, [this] { this->CheckHolders(); });
 	}
 	this->on_answer();
-	/* Saying the new generation lets go of what was dealt to others: they wait for it. */
+	/* Joining with the new generation releases the partitions now assigned to others, which wait for that. */
 	this->timer = this->scheduler.After(changed ? Millis(0) : pause, [this] { this->Join(); });
 }
 
@@ -230,6 +232,6 @@
 	this->leaving = true;
 	this->parts.clear();
 	this->scheduler.Cancel(this->timer);
-	this->scheduler.Cancel(this->look_timer);
+	this->scheduler.Cancel(this->check_timer);
 	this->log.Leave(this->spec.group, this->name, std::move(done));
 }
--- a/src/store/group_member.h
+++ b/src/store/group_member.h
@@ -1,4 +1,4 @@
-/** @file group_member.h This node's part in a group that shares out the shards. */
+/** @file group_member.h Membership of this node in the group whose members own the shards. */
 #ifndef GROUP_MEMBER_H
 #define GROUP_MEMBER_H
 
@@ -9,97 +9,100 @@
 #include <memory>
 #include <set>
 
-/** A member, as its name in the group tells. */
+/** A group member, as encoded in its member name. */
 struct GroupPeer {
-	std::string address; ///< IP:port where it answers other nodes.
-	int64_t cpu = 0;     ///< Thousandths of a core that it may use; 0 when its name doesn't tell.
+	std::string address; ///< IP:port on which it serves other nodes.
+	int64_t cpu = 0;     ///< Thousandths of a core that it may use; 0 when the name has none.
 };
 
-/** @return Name of a member in the group. @param peer The member. */
+/** @return Member name that encodes a member. @param peer The member. */
 std::string MemberNameOf(const GroupPeer &peer);
-/** @return The member of a name. @param name Its name in the group. */
+/** @return The member that a name encodes. @param name Member name. */
 GroupPeer ParseMemberName(const std::string &name);
 
-/** Which group, and as whom. */
+/** Group to join, and the member to join as. */
 struct GroupSpec {
-	std::string group; ///< The group.
-	GroupPeer self;    ///< This member.
-	std::string topic; ///< Topic whose partitions stand for the shards.
-	Millis silence;    ///< A member not heard of for so long is out.
-	size_t parts = 1;  ///< Partitions of that topic.
+	std::string group;     ///< Name of the group.
+	GroupPeer self;        ///< This member.
+	std::string topic;     ///< Topic whose partitions the group assigns, one for each shard.
+	Millis member_timeout; ///< A member that sends no join for this long is removed.
+	size_t parts = 1;      ///< Number of partitions of that topic.
 };
 
 /**
- * Stays in the group, or stands by while nodes with much more processor time hold its partitions. The partitions told
- * are only a hint who should own a shard: the shard's own log decides.
+ * Keeps this node in the group, or on standby while nodes with much more processor time hold its partitions. The
+ * assigned partitions are only a hint as to which node should own a shard: the shard's own log decides.
  *
- * A node that knows of stronger ones takes part only while few hold the partitions. The log names those that hold some,
- * and no other members: if all weak nodes took part when the strong ones die, strong ones that come back would hold
- * hardly any, nobody would see them, and the weak nodes would own the shards for good.
+ * A node that has seen stronger ones joins only while few members hold partitions. The log lists only members that hold
+ * partitions. If all weak nodes joined when the strong ones fail, returning strong nodes would get hardly any
+ * partitions, would not be seen, and the weak nodes would keep the shards.
  */
 class GroupMember {
 public:
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param log The log; outlives this.
-	 * @param events Lines; outlives this.
-	 * @param spec Which group, and as whom.
+	 * @param log The keyed log; must outlive this.
+	 * @param events Event log; must outlive this.
+	 * @param spec Group to join, and the member to join as.
 	 */
 	GroupMember(Scheduler &scheduler, KeyedLog &log, EventLog &events, GroupSpec spec);
 	~GroupMember();
 	GroupMember(const GroupMember &) = delete;
 	GroupMember &operator=(const GroupMember &) = delete;
 
-	/** Joins, or stands by. */
+	/** Joins the group, or goes on standby. */
 	void Start();
 
-	/** Leaves. @param done Told when the log was told, or could not be. */
+	/** Leaves the group. @param done Called when the log has answered or the call has failed. */
 	void Leave(std::function<void()> done);
 
-	/** @return Whether this member holds a partition. @param part The partition. */
+	/** @return Whether this member holds a partition. @param part Number of the partition. */
 	[[nodiscard]] bool Holds(uint32_t part) const { return this->parts.contains(part); }
 
-	/** @return Whether this member holds any partition, or did until a moment ago: while all are dealt anew it may hold
-	 * none. Others take it for alive then. */
-	[[nodiscard]] bool HeldRecently() const { return this->scheduler.Now() - this->held_at <= this->spec.silence; }
+	/** @return Whether this member holds any partition, or did within the member timeout: during a reassignment it may
+	 * hold none, while others still count it as alive. */
+	[[nodiscard]] bool HeldRecently() const
+	{
+		return this->scheduler.Now() - this->last_held_at <= this->spec.member_timeout;
+	}
 
-	/** @return Partitions held. */
+	/** @return Number of partitions held. */
 	[[nodiscard]] size_t Count() const { return this->parts.size(); }
 
-	/** @return Whether stronger nodes hold the partitions and this one only waits for their end. */
-	[[nodiscard]] bool IsStandby() const { return this->standing_by; }
+	/** @return Whether this node is on standby, since stronger nodes or enough others hold the partitions. */
+	[[nodiscard]] bool IsStandby() const { return this->standby; }
 
-	/** @return When the last answered join was sent. */
+	/** @return When the last join that got an answer was sent. */
 	[[nodiscard]] Millis ConfirmedAt() const { return this->confirmed_at; }
 
-	/** Told after each answered join, and each look while it stands by. Never null. */
+	/** Called after each answered join, and after each check of the holders while on standby. Never null. */
 	std::function<void()> on_answer = [] {};
 
 private:
-	Scheduler &scheduler;                                       ///< Clock and timers.
-	KeyedLog &log;                                              ///< The log.
-	EventLog &events;                                           ///< Lines.
-	GroupSpec spec;                                             ///< Which group, and as whom.
-	std::string name;                                           ///< This member's name in the group.
-	Millis started_at;                                          ///< When Start() was called.
-	bool joined = false;                                        ///< Whether this node takes part, or tries to.
-	bool standing_by = false;                                   ///< For IsStandby().
-	bool weak = false;                                          ///< Whether stronger nodes were seen in the group.
-	Millis settles_until{-1000000};                             ///< Until then it may turn out to be one too many.
-	uint64_t generation = 0;                                    ///< Last one heard.
-	std::set<uint32_t> parts;                                   ///< Partitions held.
-	Millis confirmed_at;                                        ///< For ConfirmedAt().
-	Millis held_at{-1000000};                                   ///< When it last was told that it holds a partition.
-	bool leaving = false;                                       ///< Whether Leave() was called.
-	bool lost = false;                                          ///< Whether the last join got no answer.
-	TimerId timer;                                              ///< Next join.
-	TimerId look_timer;                                         ///< Next look at the holders.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
-
-	void LookAround();
+	Scheduler &scheduler;                 ///< Clock and timers.
+	KeyedLog &log;                        ///< The keyed log.
+	EventLog &events;                     ///< Event log.
+	GroupSpec spec;                       ///< Group to join, and the member to join as.
+	std::string name;                     ///< Member name of this node.
+	Millis started_at;                    ///< When Start() was called.
+	bool joined = false;                  ///< Whether this node is in the group, or tries to join.
+	bool standby = false;                 ///< See IsStandby().
+	bool saw_stronger = false;            ///< Whether stronger nodes were ever seen in the group.
+	Millis surplus_check_until{-1000000}; ///< Until then this node may go on standby as a surplus holder.
+	uint64_t generation = 0;              ///< Group generation of the last answer.
+	std::set<uint32_t> parts;             ///< Numbers of the partitions held.
+	Millis confirmed_at;                  ///< See ConfirmedAt().
+	Millis last_held_at{-1000000};        ///< When an answer last assigned a partition to this member.
+	bool leaving = false;                 ///< Whether Leave() was called.
+	bool join_failed = false;             ///< Whether the last join failed.
+	TimerId timer;                        ///< Next join.
+	TimerId check_timer;                  ///< Next check of the holders.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this object.
+
+	void CheckHolders();
 	void OnHolders(ResultCode code, const std::vector<PartitionHolder> &rows);
-	[[nodiscard]] bool Needless(const std::vector<PartitionHolder> &rows) const;
-	void StandBy(const char *why, const std::vector<PartitionHolder> &rows);
+	[[nodiscard]] bool IsSurplus(const std::vector<PartitionHolder> &rows) const;
+	void EnterStandby(const char *reason, const std::vector<PartitionHolder> &rows);
 	void Join();
 	void OnJoined(const GroupMembership &answer, Millis sent);
 };
--- a/src/store/keyed_follower.cpp
+++ b/src/store/keyed_follower.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <iterator>
 
-KeyedFollower::KeyedFollower(Scheduler &scheduler, KeyedLog &log, PartitionId partition, PollTiming pace)
-		: scheduler(scheduler), log(log), partition(std::move(partition)), pace(pace)
+KeyedFollower::KeyedFollower(Scheduler &scheduler, KeyedLog &log, PartitionId partition, PollTiming timing)
+		: scheduler(scheduler), log(log), partition(std::move(partition)), timing(timing)
 {
 }
 
@@ -19,7 +19,7 @@
 	this->LoadFirst();
 }
 
-void KeyedFollower::Later(Millis delay, void (KeyedFollower::*step)())
+void KeyedFollower::Schedule(Millis delay, void (KeyedFollower::*step)())
 {
 	this->scheduler.Cancel(this->timer);
 	this->timer = this->scheduler.After(delay, [this, step] { (this->*step)(); });
@@ -27,43 +27,43 @@
 
 void KeyedFollower::LoadFirst()
 {
-	this->first_end.reset();
-	this->loading.clear();
+	this->load_end.reset();
+	this->loaded_keys.clear();
 	this->LoadPage({});
 }
 
 void KeyedFollower::LoadPage(const std::string &after)
 {
-	const Millis asked = this->scheduler.Now();
+	const Millis sent_at = this->scheduler.Now();
 	this->log.Newest(this->partition, after,
-					 [this, asked, still = std::weak_ptr<bool>(this->alive)](const NewestPage &page) {
+					 [this, sent_at, still = std::weak_ptr<bool>(this->alive)](const NewestPage &page) {
 						 if (!still.expired()) {
-							 this->OnPage(page, asked);
+							 this->OnPage(page, sent_at);
 						 }
 					 });
 }
 
-void KeyedFollower::OnPage(const NewestPage &page, Millis asked)
+void KeyedFollower::OnPage(const NewestPage &page, Millis sent_at)
 {
 	if (page.code != ResultCode::RC_OK) {
-		this->Later(this->pace.retry_after, &KeyedFollower::LoadFirst);
+		this->Schedule(this->timing.retry_after, &KeyedFollower::LoadFirst);
 		return;
 	}
-	if (!this->first_end) {
-		/* Pages are no snapshot: whatever was appended since the first one is read again behind it. */
-		this->first_end = page.end;
-		this->fresh_at = asked;
+	if (!this->load_end) {
+		/* Pages are no snapshot: what is appended during the load is read from the end that the first page gave. */
+		this->load_end = page.end;
+		this->current_as_of = sent_at;
 	}
 	for (const KeyedRecord &record : page.records) {
-		this->loading.insert(record.key);
-		this->Tell(record);
+		this->loaded_keys.insert(record.key);
+		this->Report(record);
 	}
 	if (page.more && !page.records.empty()) {
 		this->LoadPage(page.records.back().key);
 		return;
 	}
 	this->DropMissing();
-	this->next = *this->first_end;
+	this->next = *this->load_end;
 	const bool first = !std::exchange(this->loaded, true);
 	if (first && this->on_loaded) {
 		this->on_loaded();
@@ -71,47 +71,47 @@
 	if (this->on_batch) {
 		this->on_batch();
 	}
-	this->ReadOn();
+	this->ReadNext();
 }
 
 void KeyedFollower::DropMissing()
 {
 	std::vector<std::string> missing;
-	std::ranges::set_difference(this->keys, this->loading, std::back_inserter(missing));
+	std::ranges::set_difference(this->live_keys, this->loaded_keys, std::back_inserter(missing));
 	for (const std::string &key : missing) {
-		this->Tell(KeyedRecord{key, std::nullopt});
+		this->Report(KeyedRecord{key, std::nullopt});
 	}
 }
 
-void KeyedFollower::ReadOn()
+void KeyedFollower::ReadNext()
 {
-	const Millis asked = this->scheduler.Now();
-	this->log.Read(this->partition, this->next, this->pace.wait,
-				   [this, asked, still = std::weak_ptr<bool>(this->alive)](const KeyedReadAnswer &answer) {
+	const Millis sent_at = this->scheduler.Now();
+	this->log.Read(this->partition, this->next, this->timing.wait,
+				   [this, sent_at, still = std::weak_ptr<bool>(this->alive)](const KeyedReadAnswer &answer) {
 					   if (!still.expired()) {
-						   this->OnRead(answer, asked);
+						   this->OnRead(answer, sent_at);
 					   }
 				   });
 }
 
-void KeyedFollower::OnRead(const KeyedReadAnswer &answer, Millis asked)
+void KeyedFollower::OnRead(const KeyedReadAnswer &answer, Millis sent_at)
 {
 	if (answer.code == ResultCode::RC_LOG_FORGOTTEN) {
 		this->LoadFirst();
 		return;
 	}
 	if (answer.code != ResultCode::RC_OK) {
-		this->Later(this->pace.retry_after, &KeyedFollower::ReadOn);
+		this->Schedule(this->timing.retry_after, &KeyedFollower::ReadNext);
 		return;
 	}
-	this->fresh_at = asked;
-	this->heard_at = this->scheduler.Now();
+	this->current_as_of = sent_at;
+	this->last_answer_at = this->scheduler.Now();
 	this->next = answer.next;
-	std::ranges::for_each(answer.records, [this](const KeyedRecord &it) { this->Tell(it); });
+	std::ranges::for_each(answer.records, [this](const KeyedRecord &it) { this->Report(it); });
 	if (!answer.records.empty() && this->on_batch) {
 		this->on_batch();
 	}
-	this->Later(this->pace.pause, &KeyedFollower::ReadOn);
+	this->Schedule(this->timing.pause, &KeyedFollower::ReadNext);
 }
 
 void KeyedFollower::ReadNow(std::function<void()> done)
@@ -122,17 +122,17 @@
 				if (still.expired() || answer.code != ResultCode::RC_OK) {
 					return;
 				}
-				std::ranges::for_each(answer.records, [this](const KeyedRecord &it) { this->Tell(it); });
+				std::ranges::for_each(answer.records, [this](const KeyedRecord &it) { this->Report(it); });
 				done();
 			});
 }
 
-void KeyedFollower::Tell(const KeyedRecord &record)
+void KeyedFollower::Report(const KeyedRecord &record)
 {
 	if (record.value) {
-		this->keys.insert(record.key);
+		this->live_keys.insert(record.key);
 	} else {
-		this->keys.erase(record.key);
+		this->live_keys.erase(record.key);
 	}
 	this->on_record(record);
 }
--- a/src/store/keyed_follower.h
+++ b/src/store/keyed_follower.h
@@ -1,4 +1,4 @@
-/** @file keyed_follower.h Follows a partition of the keyed log: newest records first, then what is appended. */
+/** @file keyed_follower.h Follows a partition of the keyed log: newest records first, then all appends. */
 #ifndef KEYED_FOLLOWER_H
 #define KEYED_FOLLOWER_H
 
@@ -8,16 +8,16 @@
 #include <memory>
 #include <set>
 
-/** How a follower asks. */
+/** Timing of a follower's read calls. */
 struct PollTiming {
-	Millis wait;        ///< Time that the log may hold an answer back until a record comes.
-	Millis pause;       ///< Between two questions; 0 to ask at once.
-	Millis retry_after; ///< After a question without an answer.
+	Millis wait;        ///< Longest time that the log may delay an answer until a record arrives (long poll).
+	Millis pause;       ///< Delay between two read calls; 0 for none.
+	Millis retry_after; ///< Delay after a failed call.
 };
 
 /**
- * Tells every change of a partition at least once and in order. When the log has forgotten the offset, the newest
- * records are told again, and keys that are gone are told as dropped.
+ * Reports every change of a partition at least once and in order. When the log no longer has the offset, the
+ * newest records are reported again, and keys that are gone are reported as dropped.
  */
 class KeyedFollower {
 public:
@@ -25,58 +25,58 @@
 
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param log The log; outlives this.
-	 * @param partition What to follow.
-	 * @param pace How to ask.
+	 * @param log The keyed log; must outlive this.
+	 * @param partition Partition to follow.
+	 * @param timing Timing of the read calls.
 	 */
-	KeyedFollower(Scheduler &scheduler, KeyedLog &log, PartitionId partition, PollTiming pace);
+	KeyedFollower(Scheduler &scheduler, KeyedLog &log, PartitionId partition, PollTiming timing);
 	~KeyedFollower();
 	KeyedFollower(const KeyedFollower &) = delete;
 	KeyedFollower &operator=(const KeyedFollower &) = delete;
 
-	/** Begins. */
+	/** Starts following. */
 	void Start();
 
-	/** Reads without waiting what has been appended by now; what comes is told as always, perhaps twice. @param done
-	 * Called once it was told; never when it couldn't be read. */
+	/** Reads at once what has been appended so far. The records are reported to `on_record`, possibly twice. @param
+	 * done Called after that; never when the read failed. */
 	void ReadNow(std::function<void()> done);
 
-	/** @return Whether the newest records were told once. */
+	/** @return Whether the newest records of all keys were reported once. */
 	[[nodiscard]] bool Loaded() const { return this->loaded; }
 
-	/** @return When the last answered question was sent: everything appended before is known. */
-	[[nodiscard]] Millis CurrentAsOf() const { return this->fresh_at; }
+	/** @return When the last answered call was sent: everything appended before is known. */
+	[[nodiscard]] Millis CurrentAsOf() const { return this->current_as_of; }
 
-	/** @return When the last answer came. */
-	[[nodiscard]] Millis LastAnswerAt() const { return this->heard_at; }
+	/** @return When the last answer to a read arrived. */
+	[[nodiscard]] Millis LastAnswerAt() const { return this->last_answer_at; }
 
-	OnRecord on_record;              ///< Gets each record.
-	std::function<void()> on_batch;  ///< Told after the records of an answer.
-	std::function<void()> on_loaded; ///< Told once, after the newest records.
+	OnRecord on_record;              ///< Called with each record.
+	std::function<void()> on_batch;  ///< Called after the records of an answer.
+	std::function<void()> on_loaded; ///< Called once, after the newest records of all keys.
 
 private:
-	Scheduler &scheduler;                                       ///< Clock and timers.
-	KeyedLog &log;                                              ///< The log.
-	PartitionId partition;                                      ///< What is followed.
-	PollTiming pace;                                            ///< How to ask.
-	bool loaded = false;                                        ///< Whether Loaded().
-	uint64_t next = 0;                                          ///< Offset to read from.
-	std::optional<uint64_t> first_end;                          ///< End told by the first page of a load.
-	std::set<std::string> keys;                                 ///< Keys that have a value.
-	std::set<std::string> loading;                              ///< Keys seen by the load under way.
-	Millis fresh_at;                                            ///< For CurrentAsOf().
-	Millis heard_at;                                            ///< For LastAnswerAt().
-	TimerId timer;                                              ///< Next question.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	Scheduler &scheduler;              ///< Clock and timers.
+	KeyedLog &log;                     ///< The keyed log.
+	PartitionId partition;             ///< Partition that is followed.
+	PollTiming timing;                 ///< Timing of the read calls.
+	bool loaded = false;               ///< See Loaded().
+	uint64_t next = 0;                 ///< Offset of the next read.
+	std::optional<uint64_t> load_end;  ///< End of the partition by the first page of the load in progress.
+	std::set<std::string> live_keys;   ///< Keys that have a value.
+	std::set<std::string> loaded_keys; ///< Keys seen by the load in progress.
+	Millis current_as_of;              ///< See CurrentAsOf().
+	Millis last_answer_at;             ///< See LastAnswerAt().
+	TimerId timer;                     ///< Next call.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this object.
 
-	void Later(Millis delay, void (KeyedFollower::*step)());
+	void Schedule(Millis delay, void (KeyedFollower::*step)());
 	void LoadFirst();
 	void LoadPage(const std::string &after);
-	void OnPage(const NewestPage &page, Millis asked);
+	void OnPage(const NewestPage &page, Millis sent_at);
 	void DropMissing();
-	void ReadOn();
-	void OnRead(const KeyedReadAnswer &answer, Millis asked);
-	void Tell(const KeyedRecord &record);
+	void ReadNext();
+	void OnRead(const KeyedReadAnswer &answer, Millis sent_at);
+	void Report(const KeyedRecord &record);
 };
 
 #endif /* KEYED_FOLLOWER_H */
--- a/src/store/owner_journal.cpp
+++ b/src/store/owner_journal.cpp
@@ -1,21 +1,22 @@
-/** @file owner_journal.cpp Appends of an owner. */
+/** @file owner_journal.cpp Appends of a partition's owner. */
 #include "owner_journal.h"
 
 #include <algorithm>
 
 namespace {
 
-/** An answer later than this counts as lost, and the append is repeated: the log takes it for the same. Six times what
- * appends took lately, since a repeat that comes too soon only makes a slow partition's queue longer; twice as long
- * after each loss in a row. With a fixed 1 s (and 0.3 s until the second partition) a third of the answers lost left an
- * owner idle most of the time. */
-constexpr Millis PATIENCE_LEAST(80); ///< An append takes 8 ms, and 40 ms from a node that runs five times slower.
-constexpr Millis PATIENCE_MOST(1000);
-constexpr int64_t PATIENCE_FACTOR = 6;
-constexpr int64_t TOOK_PART = 4;     ///< The newest append counts a fourth in the smoothed time, when it is quicker.
-constexpr Millis REFUSED_PAUSE(100); ///< Before the next try when the store refused: about 10 tries a second.
-constexpr Millis LOST_PAUSE(5);      ///< Before a repeat whose first answer was lost; it has already waited.
-constexpr uint32_t LOST_COUNTED = 4; ///< Losses in a row that lengthen the wait: 80 ms grow beyond PATIENCE_MOST.
+/** Least time after which an answer counts as lost and the append is repeated, which the log recognises as a repeat. An
+ * append takes 8 ms, and 40 ms from a node that runs five times slower. The timeout is a multiple of the smoothed
+ * duration of appends, since an early repeat only lengthens the queue of a slow partition, and doubles with each
+ * consecutive loss. With a fixed timeout of 1 s (0.3 s before the second partition was used), an owner that lost a
+ * third of the answers was idle most of the time. */
+constexpr Millis MIN_TIMEOUT(80);
+constexpr Millis MAX_TIMEOUT(1000);      ///< Longest timeout of an answer.
+constexpr int64_t TIMEOUT_FACTOR = 6;    ///< Timeout as a multiple of the smoothed duration of appends.
+constexpr int64_t SMOOTHING_DIVISOR = 4; ///< A quicker append changes the smoothed duration by one in this many.
+constexpr Millis REFUSED_DELAY(100);     ///< Delay after a refusal: about 10 attempts per second.
+constexpr Millis LOST_DELAY(5);          ///< Delay after a lost answer; short, as the timeout has already passed.
+constexpr uint32_t MAX_DOUBLINGS = 4;    ///< Limit of the doublings: after so many, 80 ms exceed MAX_TIMEOUT.
 
 } // namespace
 
@@ -25,15 +26,15 @@
 {
 }
 
-Millis OwnerJournal::Patience() const
+Millis OwnerJournal::AnswerTimeout() const
 {
-	const Millis usual = std::max(Millis(this->took.Value() * PATIENCE_FACTOR), PATIENCE_LEAST);
-	return std::min(Millis(usual.Value() << std::min(this->lost_in_row, LOST_COUNTED)), PATIENCE_MOST);
+	const Millis base_timeout = std::max(Millis(this->append_duration.Value() * TIMEOUT_FACTOR), MIN_TIMEOUT);
+	return std::min(Millis(base_timeout.Value() << std::min(this->consecutive_losses, MAX_DOUBLINGS)), MAX_TIMEOUT);
 }
 
-Millis SmoothedTook(Millis before, Millis took)
+Millis SmoothedDuration(Millis before, Millis duration)
 {
-	return std::max(took, before + Millis((took.Value() - before.Value()) / TOOK_PART));
+	return std::max(duration, before + Millis((duration.Value() - before.Value()) / SMOOTHING_DIVISOR));
 }
 
 OwnerJournal::~OwnerJournal()
@@ -52,27 +53,27 @@
 
 void OwnerJournal::Send()
 {
-	const Millis sent = this->scheduler.Now();
-	this->sendings++;
-	this->sent = true;
+	const Millis sent_at = this->scheduler.Now();
+	this->attempts++;
+	this->in_flight = true;
 	const AppendCondition condition{std::nullopt, OWNER_PRODUCER, this->epoch, this->sequence};
-	this->log.Append(this->partition, this->queue.front().records, condition, this->Patience(),
-					 [this, sent, still = std::weak_ptr<bool>(this->alive)](const KeyedAppendAnswer &answer) {
+	this->log.Append(this->partition, this->queue.front().records, condition, this->AnswerTimeout(),
+					 [this, sent_at, still = std::weak_ptr<bool>(this->alive)](const KeyedAppendAnswer &answer) {
 						 if (!still.expired()) {
-							 this->OnAnswer(answer, sent);
+							 this->OnAnswer(answer, sent_at);
 						 }
 					 });
 }
 
-void OwnerJournal::OnAnswer(const KeyedAppendAnswer &answer, Millis sent)
+void OwnerJournal::OnAnswer(const KeyedAppendAnswer &answer, Millis sent_at)
 {
-	this->sent = false;
+	this->in_flight = false;
 	switch (answer.code) {
 	case ResultCode::RC_OK: {
-		this->uncertain = false;
-		this->confirmed_at = sent;
-		this->took = SmoothedTook(this->took, this->scheduler.Now() - sent);
-		this->lost_in_row = 0;
+		this->answer_lost = false;
+		this->confirmed_at = sent_at;
+		this->append_duration = SmoothedDuration(this->append_duration, this->scheduler.Now() - sent_at);
+		this->consecutive_losses = 0;
 		this->sequence++;
 		const Done done = std::move(this->queue.front().done);
 		this->queue.pop_front();
@@ -85,18 +86,18 @@
 	}
 	case ResultCode::RC_FENCED:
 	case ResultCode::RC_STALE_TERM:
-		/* A sequence that the log doesn't want is as final as a higher epoch: only a new claim gets out of it. */
+		/* A rejected sequence number is as final as a higher epoch: only a new claim helps. */
 		if (this->on_superseded) {
 			this->on_superseded();
 		}
 		return;
 	case ResultCode::RC_LOG_ANSWER_LOST:
-		this->uncertain = true;
-		this->lost_in_row++;
-		this->timer = this->scheduler.After(LOST_PAUSE, [this] { this->Send(); });
+		this->answer_lost = true;
+		this->consecutive_losses++;
+		this->timer = this->scheduler.After(LOST_DELAY, [this] { this->Send(); });
 		return;
 	default:
-		this->timer = this->scheduler.After(REFUSED_PAUSE, [this] { this->Send(); });
+		this->timer = this->scheduler.After(REFUSED_DELAY, [this] { this->Send(); });
 		if (this->on_refused) {
 			this->on_refused();
 		}
@@ -104,7 +105,7 @@
 	}
 }
 
-void OwnerJournal::TakeBack()
+void OwnerJournal::Withdraw()
 {
 	this->scheduler.Cancel(this->timer);
 	this->queue.clear();
--- a/src/store/owner_journal.h
+++ b/src/store/owner_journal.h
@@ -1,4 +1,4 @@
-/** @file owner_journal.h Appends of an owner: one at a time, in order, repeated until their outcome is known. */
+/** @file owner_journal.h Appends of a partition's owner: one at a time, in order, repeated until answered. */
 #ifndef OWNER_JOURNAL_H
 #define OWNER_JOURNAL_H
 
@@ -9,16 +9,17 @@
 #include <memory>
 
 /**
- * Time that appends take: up at once, down slowly, since a store that turns slow stays so for seconds.
- * @param before As smoothed so far.
- * @param took Time that the newest append took.
- * @return Smoothed.
+ * Smooths the duration of appends: the result rises at once and falls slowly, since a store that gets slow stays slow
+ * for seconds.
+ * @param before Smoothed duration so far.
+ * @param duration Duration of the newest append.
+ * @return New smoothed duration.
  */
-Millis SmoothedTook(Millis before, Millis took);
+Millis SmoothedDuration(Millis before, Millis duration);
 
 /**
- * Writes the records of one ownership. Since each append carries the owner's epoch and a sequence number, a repeated
- * append has its effect once, and none at all after a later owner has claimed the partition.
+ * Writes the records of one ownership of a partition. Each append carries the owner's epoch and a sequence number, so a
+ * repeated append takes effect once, and not at all after a later owner has claimed the partition.
  */
 class OwnerJournal {
 public:
@@ -26,9 +27,9 @@
 
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param log The log; outlives this.
-	 * @param partition Where the state of what is owned lies.
-	 * @param claim Number of the claim; the appends follow.
+	 * @param log The keyed log; must outlive this.
+	 * @param partition Partition to append to.
+	 * @param claim Epoch and sequence number of the claim; the appends continue its sequence.
 	 */
 	OwnerJournal(Scheduler &scheduler, KeyedLog &log, PartitionId partition, const ClaimNumber &claim);
 	~OwnerJournal();
@@ -37,57 +38,58 @@
 
 	/**
 	 * Appends records.
-	 * @param records What; all or none are written.
+	 * @param records Records to append; all or none are written.
 	 * @param done Called once they are durable; never when this ownership has ended.
 	 */
 	void Append(std::vector<KeyedRecord> records, Done done);
 
-	/** @return Whether an append is under way. */
+	/** @return Whether an append is in progress. */
 	[[nodiscard]] bool Busy() const { return this->busy; }
 
-	/** @return Whether all sendings of the append under way were refused, and none is out: nothing of it was done. */
+	/** @return Whether every attempt of the only queued append was refused and none is in flight: nothing was written.
+	 */
 	[[nodiscard]] bool Refused() const
 	{
-		return this->busy && !this->sent && !this->uncertain && this->queue.size() == 1;
+		return this->busy && !this->in_flight && !this->answer_lost && this->queue.size() == 1;
 	}
-	/** Takes the append under way back, which Refused() allows. Its `done` is never called then. */
-	void TakeBack();
+	/** Withdraws the append in progress. Only allowed while Refused(). Its `done` is never called. */
+	void Withdraw();
 
-	/** @return When the last append that succeeded was sent: this ownership was the latest then. */
+	/** @return When the last successful append was sent: at that time this ownership was the latest. */
 	[[nodiscard]] Millis ConfirmedAt() const { return this->confirmed_at; }
 
-	/** @return Appends sent, with repeats. */
-	[[nodiscard]] uint64_t Sendings() const { return this->sendings; }
+	/** @return Number of appends sent, including repeats. */
+	[[nodiscard]] uint64_t Attempts() const { return this->attempts; }
 
-	std::function<void()> on_superseded; ///< A later owner has claimed the partition.
-	std::function<void()> on_refused;    ///< The log has refused a sending; it is repeated after a pause.
+	std::function<void()> on_superseded; ///< Called when a later owner has claimed the partition.
+	std::function<void()> on_refused; ///< Called when the log has refused an attempt, which is repeated after a delay.
 
 private:
-	/** An append that waits for its turn. */
+	/** A queued append. */
 	struct Pending {
-		std::vector<KeyedRecord> records; ///< What.
-		Done done;                        ///< Told when durable.
+		std::vector<KeyedRecord> records; ///< Records to append.
+		Done done;                        ///< Called when they are durable.
 	};
 
-	Scheduler &scheduler;                                       ///< Clock and timers.
-	KeyedLog &log;                                              ///< The log.
-	PartitionId partition;                                      ///< Where.
-	uint64_t epoch;                                             ///< The ownership.
-	uint64_t sequence;                                          ///< Of the append under way or the next one.
-	std::deque<Pending> queue;                                  ///< Appends; the first may be under way.
-	bool busy = false;                                          ///< Whether the first is under way.
-	bool sent = false;                                          ///< Whether a sending of it is not answered yet.
-	bool uncertain = false;                                     ///< Whether a sending of it got no answer.
-	Millis confirmed_at;                                        ///< For ConfirmedAt().
-	uint64_t sendings = 0;                                      ///< For Sendings().
-	Millis took;                                                ///< Time that appends took, smoothed.
-	uint32_t lost_in_row = 0;                                   ///< Sendings without an answer since the last one.
-	TimerId timer;                                              ///< Next repeat.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	Scheduler &scheduler;            ///< Clock and timers.
+	KeyedLog &log;                   ///< The keyed log.
+	PartitionId partition;           ///< Partition to append to.
+	uint64_t epoch;                  ///< Epoch of this ownership.
+	uint64_t sequence;               ///< Sequence number of the append in progress or the next one.
+	std::deque<Pending> queue;       ///< Queued appends; the first one may be in progress.
+	bool busy = false;               ///< Whether the first one is in progress.
+	bool in_flight = false;          ///< Whether an attempt of it is in flight.
+	bool answer_lost = false;        ///< Whether the answer to an attempt of it was lost.
+	Millis confirmed_at;             ///< See ConfirmedAt().
+	uint64_t attempts = 0;           ///< See Attempts().
+	Millis append_duration;          ///< Smoothed duration of appends.
+	uint32_t consecutive_losses = 0; ///< Lost answers since the last successful append.
+	TimerId timer;                   ///< Next attempt.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this object.
 
-	[[nodiscard]] Millis Patience() const;
+	[[nodiscard]] Millis AnswerTimeout() const;
 	void Send();
-	void OnAnswer(const KeyedAppendAnswer &answer, Millis sent);
+	void OnAnswer(const KeyedAppendAnswer &answer, Millis sent_at);
 };
 
 #endif /* OWNER_JOURNAL_H */
--- a/src/store/owner_record.cpp
+++ b/src/store/owner_record.cpp
@@ -1,4 +1,4 @@
-/** @file owner_record.cpp The record that tells who owns a partition. */
+/** @file owner_record.cpp The record that names the owner of a partition. */
 #include "owner_record.h"
 
 #include "record_codec.h"
--- a/src/store/owner_record.h
+++ b/src/store/owner_record.h
@@ -1,4 +1,4 @@
-/** @file owner_record.h The record that tells who owns a partition. */
+/** @file owner_record.h The record that names the owner of a partition. */
 #ifndef OWNER_RECORD_H
 #define OWNER_RECORD_H
 
@@ -9,19 +9,19 @@
 #include <string>
 #include <string_view>
 
-/** Who owns a partition. */
+/** Owner of a partition. */
 struct StoredOwner {
-	uint64_t epoch = 0;        ///< Rises with each owner.
-	std::string address;       ///< Where its node answers others.
-	bool released = false;     ///< It has let go by itself: it prolongs no lease any more.
-	Millis earlier_lease_span; ///< When it let go: owners before it may still have prolonged leases for so long.
+	uint64_t epoch = 0;        ///< Increases with each owner.
+	std::string address;       ///< IP:port on which its node serves other nodes.
+	bool released = false;     ///< It has released the partition itself, and extends no more leases.
+	Millis earlier_lease_span; ///< If released: how long from then on owners before it may still have extended leases.
 
 	bool operator==(const StoredOwner &) const = default;
 };
 
-/** @return Bytes of an owner. @param owner The owner. */
+/** @return The encoded record of an owner. @param owner The owner. */
 std::string EncodeOwner(const StoredOwner &owner);
-/** @return The owner, or nothing when the bytes are no such record or of a later format. @param bytes The record. */
+/** @return The owner, or nothing when the record is malformed or of a later format. @param bytes The encoded record. */
 std::optional<StoredOwner> DecodeOwner(std::string_view bytes);
 
 #endif /* OWNER_RECORD_H */
--- a/src/store/paired_journal.cpp
+++ b/src/store/paired_journal.cpp
@@ -1,4 +1,4 @@
-/** @file paired_journal.cpp Appends of an owner to its partition, and around it to a second one. */
+/** @file paired_journal.cpp Appends of an owner to its partition, or to a spare one while the first doesn't answer. */
 #include "paired_journal.h"
 
 #include <algorithm>
@@ -7,18 +7,17 @@
 
 namespace {
 
-/** A batch that the main partition has not answered by then goes to the spare one, too: an append takes 8 ms, and 40 ms
- * from a node that runs five times slower. */
-constexpr Millis PATIENCE_LEAST(300);
-constexpr Millis PATIENCE_MOST(900);   ///< The same while the store is slow: below the limit of one append (1 s).
-constexpr int64_t PATIENCE_FACTOR = 3; ///< Times what the main partition took lately.
-/** A batch that both partitions have refused for so long is handed back: what callers wait for is refused to them while
- * they have time to come again. */
-constexpr Millis REFUSED_FOR(100);
-/** Batches that waited are written with one append up to so many records: the fleet's are below 100 bytes each, and a
- * call carries 2 MB. */
-constexpr size_t TOGETHER_MOST = 1000;
-constexpr size_t REPEAT_MOST = 200; ///< Records repeated with one append: about 400 KB, a fifth of what a call carries.
+/** Least time after which a batch that the main partition hasn't answered is sent to the spare one, too. An append
+ * takes 8 ms, and 40 ms from a node that runs five times slower. */
+constexpr Millis MIN_MAIN_TIMEOUT(300);
+constexpr Millis MAX_MAIN_TIMEOUT(900); ///< Longest such time, for a slow store: below the timeout of one append (1 s).
+constexpr int64_t MAIN_TIMEOUT_FACTOR = 3; ///< This time as a multiple of the smoothed duration in the main partition.
+/** A batch that both partitions have refused for this long fails, so that callers learn it in time to retry. */
+constexpr Millis REFUSAL_TIME(100);
+/** Limit of the records up to which queued batches are joined into one append: the fleet's records are below 100 bytes
+ * each, and a call carries up to 2 MB. */
+constexpr size_t MAX_JOINED_RECORDS = 1000;
+constexpr size_t MAX_REPEATED_RECORDS = 200; ///< With one append: about 400 KB, a fifth of what a call carries.
 
 } // namespace
 
@@ -29,8 +28,8 @@
 {
 	this->main.on_refused = [this] { this->OnRefused(); };
 	this->spare.on_refused = [this] { this->OnRefused(); };
-	this->main.on_superseded = [this] { this->OnDeposed(); };
-	this->spare.on_superseded = [this] { this->OnDeposed(); };
+	this->main.on_superseded = [this] { this->OnSuperseded(); };
+	this->spare.on_superseded = [this] { this->OnSuperseded(); };
 }
 
 PairedJournal::~PairedJournal()
@@ -38,9 +37,9 @@
 	this->scheduler.Cancel(this->timer);
 }
 
-void PairedJournal::OnDeposed()
+void PairedJournal::OnSuperseded()
 {
-	if (!std::exchange(this->deposed, true) && this->on_superseded) {
+	if (!std::exchange(this->superseded, true) && this->on_superseded) {
 		this->on_superseded();
 	}
 }
@@ -54,23 +53,23 @@
 	batch.refused = std::move(refused);
 	this->queue.push_back(std::move(batch));
 	if (!this->current) {
-		this->Next();
+		this->StartNext();
 	}
 }
 
-Millis PairedJournal::Patience() const
+Millis PairedJournal::MainTimeout() const
 {
-	return std::clamp(Millis(this->took.Value() * PATIENCE_FACTOR), PATIENCE_LEAST, PATIENCE_MOST);
+	return std::clamp(Millis(this->main_duration.Value() * MAIN_TIMEOUT_FACTOR), MIN_MAIN_TIMEOUT, MAX_MAIN_TIMEOUT);
 }
 
-PairedJournal::Batch PairedJournal::TakeQueued()
+PairedJournal::Batch PairedJournal::TakeNextBatch()
 {
 	Batch batch = std::move(this->queue.front());
 	this->queue.pop_front();
-	/* One by one, the records of 37 boxes whose maintenance had begun held up orders to move 129 boxes to a queue at
-	 * its peak: 0.43 s with appends that take 11 ms (one day played, with and without). */
+	/* Written one by one, the records of 37 boxes whose maintenance had begun delayed orders to move 129 boxes to a
+	 * queue at its peak by 0.43 s, with appends of 11 ms each. */
 	while (!batch.refused && !this->queue.empty() && !this->queue.front().refused &&
-		   batch.records.size() < TOGETHER_MOST) {
+		   batch.records.size() < MAX_JOINED_RECORDS) {
 		Batch &next = this->queue.front();
 		std::ranges::move(next.records, std::back_inserter(batch.records));
 		std::ranges::move(next.done, std::back_inserter(batch.done));
@@ -79,11 +78,11 @@
 	return batch;
 }
 
-void PairedJournal::Next()
+void PairedJournal::StartNext()
 {
 	if (!this->queue.empty()) {
-		this->current = this->TakeQueued();
-	} else if (!this->behind.empty() && !this->main.Busy()) {
+		this->current = this->TakeNextBatch();
+	} else if (!this->missing.empty() && !this->main.Busy()) {
 		Batch repeat;
 		repeat.number = ++this->last_number;
 		repeat.done.emplace_back([this] {
@@ -97,49 +96,49 @@
 	}
 	this->sent_at = this->scheduler.Now();
 	if (this->main.Busy()) {
-		this->ToSpare();
+		this->SendToSpare();
 	} else {
-		this->ToMain();
+		this->SendToMain();
 	}
 }
 
-void PairedJournal::ToMain()
+void PairedJournal::SendToMain()
 {
 	std::vector<KeyedRecord> records = this->current->records;
-	std::ranges::for_each(records, [this](const KeyedRecord &it) { this->behind.erase(it.key); });
+	std::ranges::for_each(records, [this](const KeyedRecord &it) { this->missing.erase(it.key); });
 	this->repeated.clear();
-	for (const auto &[key, it] : this->behind | std::views::take(REPEAT_MOST)) {
+	for (const auto &[key, it] : this->missing | std::views::take(MAX_REPEATED_RECORDS)) {
 		records.push_back(it.record);
 		this->repeated.emplace(key, it.number);
 	}
 	const uint64_t number = this->current->number;
 	this->current->in_main = true;
-	this->timer = this->scheduler.After(this->Patience(), [this, number] {
+	this->timer = this->scheduler.After(this->MainTimeout(), [this, number] {
 		if (this->current && this->current->number == number && !this->current->in_spare) {
-			this->ToSpare();
+			this->SendToSpare();
 		}
 	});
 	this->main.Append(std::move(records), [this, number] { this->OnMain(number); });
 }
 
-void PairedJournal::ToSpare()
+void PairedJournal::SendToSpare()
 {
-	if (!std::exchange(this->around, true)) {
+	if (!std::exchange(this->bypassing, true)) {
 		this->events.Write("journal_around", {{"topic", this->pair.main.topic},
 											  {"part", std::to_string(this->pair.main.part)},
-											  {"waited_ms", std::to_string(this->Patience().Value())}});
+											  {"waited_ms", std::to_string(this->MainTimeout().Value())}});
 	}
 	if (this->current->records.empty()) {
-		this->Finish(); /* Only repeats what the spare partition has. */
+		this->FinishBatch(); /* A batch without own records only repeats what the spare partition has. */
 		return;
 	}
 	this->current->in_spare = true;
 	std::vector<KeyedRecord> records;
 	for (const KeyedRecord &it : this->current->records) {
-		const SpareKey there = this->pair.key_for(it.key);
-		records.push_back(KeyedRecord{there.key, it.value});
-		if (there.drop) {
-			this->droppable.insert(there.key);
+		const SpareKey spare_key = this->pair.key_for(it.key);
+		records.push_back(KeyedRecord{spare_key.key, it.value});
+		if (spare_key.drop) {
+			this->spare_keys_to_drop.insert(spare_key.key);
 		}
 	}
 	this->spare.Append(std::move(records), [this, number = this->current->number] { this->OnSpare(number); });
@@ -148,23 +147,24 @@
 void PairedJournal::OnSpare(uint64_t number)
 {
 	if (!this->current || this->current->number != number) {
-		return; /* The main partition was sooner. */
+		return; /* The main partition has answered first. */
 	}
 	this->detours++;
 	for (const KeyedRecord &it : this->current->records) {
-		this->behind[it.key] = Behind{it, number};
+		this->missing[it.key] = MissingRecord{it, number};
 	}
-	this->Finish();
+	this->FinishBatch();
 }
 
-void PairedJournal::Settle(uint64_t number)
+void PairedJournal::EraseStored(uint64_t number)
 {
-	std::erase_if(this->behind, [&](const auto &it) {
-		const auto brought = this->repeated.find(it.first);
-		return it.second.number == number || (brought != this->repeated.end() && brought->second == it.second.number);
+	std::erase_if(this->missing, [&](const auto &it) {
+		const auto sent_repeat = this->repeated.find(it.first);
+		return it.second.number == number ||
+			   (sent_repeat != this->repeated.end() && sent_repeat->second == it.second.number);
 	});
 	this->repeated.clear();
-	if (this->behind.empty() && std::exchange(this->around, false)) {
+	if (this->missing.empty() && std::exchange(this->bypassing, false)) {
 		this->events.Write("journal_back", {{"topic", this->pair.main.topic},
 											{"part", std::to_string(this->pair.main.part)},
 											{"detours", std::to_string(this->detours)}});
@@ -173,31 +173,32 @@
 
 void PairedJournal::OnMain(uint64_t number)
 {
-	const bool waited_for = this->current && this->current->number == number;
-	if (waited_for) {
-		/* Up at once: a store that turns slow would get each of its first batches twice. */
-		this->took = SmoothedTook(this->took, this->scheduler.Now() - this->sent_at);
-	}
-	this->Settle(number);
-	this->TidySpare();
-	if (waited_for) {
-		this->Finish();
+	const bool is_current = this->current && this->current->number == number;
+	if (is_current) {
+		/* It rises at once: otherwise a store that gets slow would get each of its first batches twice. */
+		this->main_duration = SmoothedDuration(this->main_duration, this->scheduler.Now() - this->sent_at);
+	}
+	this->EraseStored(number);
+	this->CleanUpSpare();
+	if (is_current) {
+		this->FinishBatch();
 	} else if (!this->current) {
-		this->Next();
+		this->StartNext();
 	}
 }
 
-void PairedJournal::TidySpare()
+void PairedJournal::CleanUpSpare()
 {
-	if (!this->behind.empty() || this->spare.Busy() || this->droppable.empty()) {
+	if (!this->missing.empty() || this->spare.Busy() || this->spare_keys_to_drop.empty()) {
 		return;
 	}
 	std::vector<KeyedRecord> records;
-	std::ranges::transform(std::exchange(this->droppable, {}), std::back_inserter(records), [](const std::string &it) {
-		return KeyedRecord{it, std::nullopt};
-	});
+	std::ranges::transform(std::exchange(this->spare_keys_to_drop, {}), std::back_inserter(records),
+						   [](const std::string &it) {
+							   return KeyedRecord{it, std::nullopt};
+						   });
 	this->spare.Append(std::move(records), [] {
-		/* Nothing waits for it: what stays there is older than what the main partition has. */
+		/* Nothing waits for this: records that stay there are older than those in the main partition. */
 	});
 }
 
@@ -207,34 +208,34 @@
 		return;
 	}
 	if (!this->current->in_spare) {
-		this->ToSpare();
+		this->SendToSpare();
 		return;
 	}
-	const bool certain = this->spare.Refused() && (!this->current->in_main || this->main.Refused());
-	if (!certain || this->scheduler.Now() - this->sent_at < REFUSED_FOR) {
+	const bool not_written = this->spare.Refused() && (!this->current->in_main || this->main.Refused());
+	if (!not_written || this->scheduler.Now() - this->sent_at < REFUSAL_TIME) {
 		return;
 	}
-	this->spare.TakeBack();
+	this->spare.Withdraw();
 	if (this->current->in_main) {
-		this->main.TakeBack();
+		this->main.Withdraw();
 	}
 	this->scheduler.Cancel(this->timer);
 	const Done refused = std::move(this->current->refused);
 	this->current.reset();
-	this->Next();
+	this->StartNext();
 	refused();
 }
 
-void PairedJournal::Finish()
+void PairedJournal::FinishBatch()
 {
 	this->scheduler.Cancel(this->timer);
 	this->finished_at = this->scheduler.Now();
-	this->last_took = this->finished_at - this->sent_at;
-	const std::vector<Done> told = std::move(this->current->done);
+	this->last_duration = this->finished_at - this->sent_at;
+	const std::vector<Done> callbacks = std::move(this->current->done);
 	this->current.reset();
-	this->Next();
-	/* Last: this may be gone after it. */
-	std::ranges::for_each(told, [](const Done &it) {
+	this->StartNext();
+	/* Last, since a callback may destroy this object. */
+	std::ranges::for_each(callbacks, [](const Done &it) {
 		if (it) {
 			it();
 		}
--- a/src/store/paired_journal.h
+++ b/src/store/paired_journal.h
@@ -1,5 +1,4 @@
-/** @file paired_journal.h Appends of an owner to its partition, and around it to a second one while it doesn't answer.
- */
+/** @file paired_journal.h Appends of an owner to its partition, or to a spare one while the first doesn't answer. */
 #ifndef PAIRED_JOURNAL_H
 #define PAIRED_JOURNAL_H
 
@@ -9,27 +8,27 @@
 #include <map>
 #include <set>
 
-/** Key under which a record of the main partition stands in the spare one. */
+/** Key in the spare partition for a record of the main one. */
 struct SpareKey {
 	std::string key;   ///< The key.
-	bool drop = false; ///< Whether it is dropped there once the main partition has the record.
+	bool drop = false; ///< Whether it is dropped from the spare partition once the main one has the record.
 };
 
-/** The two partitions of an owner. */
+/** The two partitions to which an owner appends. */
 struct JournalPair {
-	PartitionId main;                                     ///< Where all records come to lie.
-	PartitionId spare;                                    ///< Where they lie until the main partition answers.
-	std::function<SpareKey(const std::string &)> key_for; ///< Key in the spare partition by key in the main one.
+	PartitionId main;  ///< Partition that gets all records in the end.
+	PartitionId spare; ///< Partition that gets records while the main one doesn't answer.
+	std::function<SpareKey(const std::string &)> key_for; ///< Maps a key of the main partition to the spare one.
 };
 
 /**
- * Writes the records of one ownership, a batch at a time. A batch that the main partition has not answered soon goes to
- * the spare one as well, and is durable as soon as either has it. What follows goes to the spare one alone until the
- * main partition answers; then all that it lacks is repeated there. Both partitions are fenced by each claim, so a
- * later owner finds every durable record in one of the two.
+ * Writes the records of one ownership, one batch at a time. A batch that the main partition doesn't answer within a
+ * timeout is sent to the spare one as well, and is durable as soon as either has it. Further batches go to the spare
+ * partition alone until the main one answers; then all records that the main one lacks are repeated there. Each claim
+ * fences both partitions, so a later owner finds every durable record in one of the two.
  *
- * Without it a queue stood still while its partition was silent: 6 s of silence made 14 s of late jobs (jobs by second
- * on a day with a fifth of the partitions silent; worth of such days 0.41 without, 0.53 with it, three runs each).
+ * Without the spare partition a queue stopped while its partition didn't answer: with a fifth of the partitions
+ * unresponsive, 6 s without answers made the jobs of 14 s late. Worth of such days: 0.41 without, 0.53 with it.
  */
 class PairedJournal {
 public:
@@ -37,10 +36,10 @@
 
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param log The log; outlives this.
-	 * @param events Lines; outlives this.
-	 * @param pair Where.
-	 * @param claim Number of the claim, the same in both partitions; the appends follow.
+	 * @param log The keyed log; must outlive this.
+	 * @param events Event log; must outlive this.
+	 * @param pair Partitions to append to.
+	 * @param claim Epoch and sequence number of the claim, the same in both partitions; the appends continue them.
 	 */
 	PairedJournal(Scheduler &scheduler, KeyedLog &log, EventLog &events, JournalPair pair, const ClaimNumber &claim);
 	~PairedJournal();
@@ -48,87 +47,89 @@
 	PairedJournal &operator=(const PairedJournal &) = delete;
 
 	/**
-	 * Appends records, in order, together with others that wait and can't be refused either.
-	 * @param records What; all or none are written.
+	 * Appends records in order. Queued appends without `refused` are joined into one batch.
+	 * @param records Records to append; all or none are written.
 	 * @param done Called once they are durable; never when this ownership has ended.
-	 * @param refused Called instead when the log has refused them for a while for certain: none is written, nor will
-	 * be. Null to repeat them until they are.
+	 * @param refused Called instead when the log has refused them for a while, and it is certain that none is or will
+	 * be written. Null to repeat the append until it succeeds.
 	 */
 	void Append(std::vector<KeyedRecord> records, Done done, Done refused = nullptr);
 
-	/** @return Whether a batch is under way. */
+	/** @return Whether a batch is in progress. */
 	[[nodiscard]] bool Busy() const { return this->current.has_value(); }
 
-	/** @return Whether nothing is under way, and nothing was for a while: what its owner then records about itself
-	 * leaves half of the time to what somebody waits for. @param span The while; longer when the last batch took
+	/** @return Whether no batch was in progress for some time. An owner that refreshes its own record only then leaves
+	 * half of the time to appends that somebody waits for. @param span The time; extended when the last batch took
 	 * longer. */
 	[[nodiscard]] bool IdleFor(Millis span) const
 	{
-		const Millis pause = std::max(span, std::min(this->last_took, QUIET_MOST));
-		return !this->Busy() && this->scheduler.Now() - this->finished_at >= pause;
+		const Millis idle_time = std::max(span, std::min(this->last_duration, MAX_IDLE_EXTENSION));
+		return !this->Busy() && this->scheduler.Now() - this->finished_at >= idle_time;
 	}
 
-	/** @return When the last append that succeeded was sent: this ownership was the latest then. */
+	/** @return When the last successful append was sent: at that time this ownership was the latest. */
 	[[nodiscard]] Millis ConfirmedAt() const { return std::max(this->main.ConfirmedAt(), this->spare.ConfirmedAt()); }
 
-	/** @return Batches that the spare partition had first. */
+	/** @return Number of batches that the spare partition stored first. */
 	[[nodiscard]] uint64_t Detours() const { return this->detours; }
 
-	std::function<void()> on_superseded; ///< A later owner has claimed the partitions. Called once.
-	std::function<void()> on_repeated; ///< Records were repeated to the main partition: nothing is under way any more.
+	std::function<void()> on_superseded; ///< Called once when a later owner has claimed the partitions.
+	std::function<void()>
+			on_repeated; ///< Called when a batch that only repeats records to the main partition is finished.
 
 private:
-	/** Longest pause of Quiet(): a store that is slow takes so long; one that was away is back. */
-	static constexpr Millis QUIET_MOST = Millis(500);
+	/** Limit of the time that IdleFor() takes from the last batch: a slow store takes this long; a longer batch was an
+	 * outage that is over. */
+	static constexpr Millis MAX_IDLE_EXTENSION = Millis(500);
 
-	/** Records that are written together. */
+	/** Records that are written with one append. */
 	struct Batch {
-		uint64_t number = 0;              ///< Counts the batches of this ownership.
-		std::vector<KeyedRecord> records; ///< What.
-		std::vector<Done> done;           ///< Told when durable.
-		Done refused;                     ///< Told when certainly not written; null to go on trying.
-		bool in_main = false;             ///< Whether it was handed to the main partition.
-		bool in_spare = false;            ///< Whether it was handed to the spare partition.
+		uint64_t number = 0;              ///< Number of the batch in this ownership.
+		std::vector<KeyedRecord> records; ///< Records to append.
+		std::vector<Done> done;           ///< Called when the records are durable.
+		Done refused;                     ///< Called when certainly not written; null to retry forever.
+		bool in_main = false;             ///< Whether it was sent to the main partition.
+		bool in_spare = false;            ///< Whether it was sent to the spare partition.
 	};
 
 	/** A record that only the spare partition has. */
-	struct Behind {
-		KeyedRecord record;  ///< It, under its key in the main partition.
-		uint64_t number = 0; ///< Batch that brought it.
+	struct MissingRecord {
+		KeyedRecord record;  ///< The record, under its key in the main partition.
+		uint64_t number = 0; ///< Number of the batch that wrote it.
 	};
 
-	Scheduler &scheduler;                     ///< Clock and timers.
-	EventLog &events;                         ///< Lines.
-	JournalPair pair;                         ///< Where.
-	OwnerJournal main;                        ///< Appends to the main partition.
-	OwnerJournal spare;                       ///< Appends to the spare partition.
-	std::deque<Batch> queue;                  ///< Batches that wait.
-	std::optional<Batch> current;             ///< Batch under way.
-	uint64_t last_number = 0;                 ///< Number of the last batch.
-	Millis sent_at;                           ///< When the current batch was sent.
-	Millis finished_at;                       ///< When the last batch was durable.
-	Millis last_took;                         ///< Time that it took.
-	Millis took = Millis(0);                  ///< Time that the main partition took, smoothed.
-	std::map<std::string, Behind> behind;     ///< What the main partition lacks, by key there.
-	std::map<std::string, uint64_t> repeated; ///< Of those, what its append under way brings.
-	std::set<std::string> droppable;          ///< Keys in the spare partition that can go later.
-	bool around = false;                      ///< Whether the main partition is being passed by.
-	bool deposed = false;                     ///< Whether on_superseded was called.
-	uint64_t detours = 0;                     ///< For Detours().
-	TimerId timer;                            ///< End of the wait for the main partition.
-
-	[[nodiscard]] Millis Patience() const;
-	[[nodiscard]] Batch TakeQueued();
-	void Next();
-	void ToMain();
-	void ToSpare();
+	Scheduler &scheduler;                         ///< Clock and timers.
+	EventLog &events;                             ///< Event log.
+	JournalPair pair;                             ///< Partitions to append to.
+	OwnerJournal main;                            ///< Appends to the main partition.
+	OwnerJournal spare;                           ///< Appends to the spare partition.
+	std::deque<Batch> queue;                      ///< Batches that wait.
+	std::optional<Batch> current;                 ///< Batch in progress.
+	uint64_t last_number = 0;                     ///< Number of the last batch.
+	Millis sent_at;                               ///< When the current batch was sent.
+	Millis finished_at;                           ///< When the last batch became durable.
+	Millis last_duration;                         ///< Duration of the last batch.
+	Millis main_duration = Millis(0);             ///< Smoothed duration of appends to the main partition.
+	std::map<std::string, MissingRecord> missing; ///< Records that the main partition lacks, by their key there.
+	std::map<std::string, uint64_t> repeated;     ///< Batch numbers of the records that the append in progress repeats.
+	std::set<std::string> spare_keys_to_drop;     ///< Keys to drop from the spare partition later.
+	bool bypassing = false;                       ///< Whether the main partition is bypassed or lacks records.
+	bool superseded = false;                      ///< Whether on_superseded was called.
+	uint64_t detours = 0;                         ///< See Detours().
+	TimerId timer;                                ///< Timeout of the main partition.
+
+	[[nodiscard]] Millis MainTimeout() const;
+	[[nodiscard]] Batch TakeNextBatch();
+	void StartNext();
+	void SendToMain();
+	void SendToSpare();
 	void OnMain(uint64_t number);
 	void OnSpare(uint64_t number);
-	void Settle(uint64_t number);
-	void TidySpare();
-	void Finish();
+	void EraseStored(uint64_t number);
+	void CleanUpSpare();
+	void FinishBatch();
 	void OnRefused();
-	void OnDeposed();
+	void OnSuperseded();
 };
 
 #endif /* PAIRED_JOURNAL_H */
--- a/src/store/partition_claim.cpp
+++ b/src/store/partition_claim.cpp
@@ -11,23 +11,22 @@
 
 namespace {
 
-/** An answer to a claim later than this counts as lost: the longest wait, and the shortest. In between six times what
- * the look before it took. While nobody owns a queue, each second of it is lost to its callers. */
-constexpr Millis CLAIM_PATIENCE_MOST(1000);
-constexpr Millis CLAIM_PATIENCE_LEAST(250);
-constexpr int64_t CLAIM_PATIENCE_FACTOR = 6;
-constexpr Millis CLAIM_AGAIN(150); ///< Before the next try after the log refused or kept silent.
-constexpr int SEQUENCE_SHIFT = 24; ///< Leaves 40 bits of a hash: far below what a number in a call may be.
-/** A partition that has not moved for so long has an owner that can't record, if any: one that lives records itself
- * within 0.35 s, and one append later. */
-constexpr Millis STILL_LEAST(400);
-/** The same while answers of the log get lost: an owner repeats an append without an answer after 1 s at the longest.
- */
-constexpr Millis STILL_LOSSY(1150);
-constexpr Millis LOSSY_FOR(2500); ///< Answers are taken to get lost for so long after one was, here.
-/** On top of either, times what the look took: a slow store is slow for the owner, too. */
-constexpr int64_t STILL_TOOK = 4;
-constexpr Millis LOOK_AGAIN(200); ///< While another owns the partition, it is looked at so often: two reading calls.
+/** Longest timeout of a claim's append. Timeouts are short, as a queue serves no callers while it has no owner. */
+constexpr Millis MAX_CLAIM_TIMEOUT(1000);
+constexpr Millis MIN_CLAIM_TIMEOUT(250);    ///< Shortest timeout of a claim's append.
+constexpr int64_t CLAIM_TIMEOUT_FACTOR = 6; ///< Timeout as a multiple of the duration of the last owner read.
+constexpr Millis CLAIM_RETRY_DELAY(150);    ///< Delay after a call that the log refused or didn't answer.
+constexpr int SEQUENCE_SHIFT = 24; ///< Leaves 40 bits of a hash: far below the largest number that a call can carry.
+/** The owner of a partition that has not grown for this long can't append, if there is one: a live owner refreshes its
+ * record within 0.35 s plus the duration of one append. */
+constexpr Millis UNCHANGED_LIMIT(400);
+/** The same while answers of the log get lost: an owner repeats an unanswered append after 1 s at most. */
+constexpr Millis UNCHANGED_LIMIT_LOSSY(1150);
+constexpr Millis LOSSY_PERIOD(2500); ///< Answers count as getting lost for this long after the last loss at this node.
+/** This multiple of the duration of the last owner read is added to either limit: a slow store is slow for the owner,
+ * too. */
+constexpr int64_t READ_DURATION_FACTOR = 4;
+constexpr Millis OWNER_CHECK_INTERVAL(200); ///< While another node is the owner; a check costs two read calls.
 
 } // namespace
 
@@ -44,12 +43,12 @@
 void PartitionClaim::Start(Done done)
 {
 	this->done = std::move(done);
-	this->Look();
+	this->ReadOwner();
 }
 
-void PartitionClaim::Look()
+void PartitionClaim::ReadOwner()
 {
-	this->looked_at = this->scheduler.Now();
+	this->owner_read_at = this->scheduler.Now();
 	this->log.Newest(this->spec.partition, KEY_BEFORE_OWNER,
 					 [this, still = std::weak_ptr<bool>(this->alive)](const NewestPage &page) {
 						 if (!still.expired()) {
@@ -61,25 +60,25 @@
 void PartitionClaim::OnOwner(const NewestPage &page)
 {
 	if (page.code != ResultCode::RC_OK) {
-		this->still_end.reset(); /* What this node can't read, the owner may not be able to write. */
-		this->TryAgain(CLAIM_AGAIN);
+		this->last_end.reset(); /* The owner may be unable to write for the same reason. */
+		this->Retry(CLAIM_RETRY_DELAY);
 		return;
 	}
-	this->look_took = this->scheduler.Now() - this->looked_at;
+	this->owner_read_duration = this->scheduler.Now() - this->owner_read_at;
 	this->NoteEnd(page.end);
-	const Millis left = this->StillLimit() - this->StillFor();
+	const Millis remaining = this->UnchangedLimit() - this->UnchangedFor();
 	const auto it = std::ranges::find(page.records, OWNER_KEY, &KeyedRecord::key);
 	const std::optional<StoredOwner> owner =
 			it == page.records.end() ? std::nullopt : DecodeOwner(it->value.value_or(std::string()));
 	const bool vacant = !owner || owner->released;
-	/* Owned by an earlier process here, or lost without another owner. */
+	/* Owned by an earlier process at this address, or by this one, which lost it while nobody else claimed it. */
 	const bool own = !vacant && owner->address == this->spec.address;
 	const bool wanted = this->spec.wanted();
 	const bool watches = wanted || (this->spec.watches && this->spec.watches());
-	if (own || (vacant && (wanted || (watches && left <= Millis(0))))) {
+	if (own || (vacant && (wanted || (watches && remaining <= Millis(0))))) {
 		this->Load();
-	} else if (vacant || !watches || left > Millis(0)) {
-		this->Wait(watches && left > Millis(0) ? std::min(left, LOOK_AGAIN) : LOOK_AGAIN);
+	} else if (vacant || !watches || remaining > Millis(0)) {
+		this->Wait(watches && remaining > Millis(0) ? std::min(remaining, OWNER_CHECK_INTERVAL) : OWNER_CHECK_INTERVAL);
 	} else {
 		this->AskHolders(owner->address);
 	}
@@ -87,22 +86,22 @@
 
 void PartitionClaim::NoteEnd(uint64_t end)
 {
-	if (this->still_end != end) {
-		this->still_end = end;
-		this->still_since = this->scheduler.Now();
+	if (this->last_end != end) {
+		this->last_end = end;
+		this->last_end_since = this->scheduler.Now();
 	}
 }
 
-Millis PartitionClaim::StillFor() const
+Millis PartitionClaim::UnchangedFor() const
 {
-	return this->scheduler.Now() - this->still_since;
+	return this->scheduler.Now() - this->last_end_since;
 }
 
-Millis PartitionClaim::StillLimit() const
+Millis PartitionClaim::UnchangedLimit() const
 {
 	const Millis now = this->scheduler.Now();
-	const Millis least = now - this->log.AnswerLostAt() <= LOSSY_FOR ? STILL_LOSSY : STILL_LEAST;
-	return least + Millis(this->look_took.Value() * STILL_TOOK);
+	const Millis least = now - this->log.AnswerLostAt() <= LOSSY_PERIOD ? UNCHANGED_LIMIT_LOSSY : UNCHANGED_LIMIT;
+	return least + Millis(this->owner_read_duration.Value() * READ_DURATION_FACTOR);
 }
 
 void PartitionClaim::AskHolders(const std::string &owner)
@@ -112,12 +111,12 @@
 		if (still.expired()) {
 			return;
 		}
-		const bool lives = std::ranges::any_of(
+		const bool owner_listed = std::ranges::any_of(
 				rows, [&owner](const PartitionHolder &it) { return ParseMemberName(it.member).address == owner; });
 		if (code != ResultCode::RC_OK) {
-			this->TryAgain(CLAIM_AGAIN);
-		} else if (lives) {
-			this->Wait(LOOK_AGAIN);
+			this->Retry(CLAIM_RETRY_DELAY);
+		} else if (owner_listed) {
+			this->Wait(OWNER_CHECK_INTERVAL);
 		} else {
 			this->Load();
 		}
@@ -127,19 +126,19 @@
 void PartitionClaim::Wait(Millis delay)
 {
 	this->waiting = true;
-	this->TryAgain(delay);
+	this->Retry(delay);
 }
 
-void PartitionClaim::TryAgain(Millis delay)
+void PartitionClaim::Retry(Millis delay)
 {
-	this->timer = this->scheduler.After(delay, [this] { this->Look(); });
+	this->timer = this->scheduler.After(delay, [this] { this->ReadOwner(); });
 }
 
 void PartitionClaim::Load()
 {
 	this->waiting = false;
-	this->found = ClaimedPartition{{}, true, Millis(0), {}, {}};
-	this->first_end.reset();
+	this->contents = ClaimedPartition{{}, true, Millis(0), {}, {}};
+	this->load_end.reset();
 	this->LoadPage({});
 }
 
@@ -156,21 +155,21 @@
 void PartitionClaim::OnPage(const NewestPage &page)
 {
 	if (page.code != ResultCode::RC_OK) {
-		this->TryAgain(CLAIM_AGAIN);
+		this->Retry(CLAIM_RETRY_DELAY);
 		return;
 	}
-	if (!this->first_end) {
-		this->first_end = page.end;
+	if (!this->load_end) {
+		this->load_end = page.end;
 	}
 	for (const KeyedRecord &record : page.records) {
 		const std::string value = record.value.value_or(std::string());
 		if (record.key == OWNER_KEY) {
 			const std::optional<StoredOwner> owner = DecodeOwner(value);
-			this->epoch_found = std::max(this->epoch_found, owner ? owner->epoch : 0);
-			this->found.released = owner && owner->released;
-			this->found.earlier_lease_span = owner ? owner->earlier_lease_span : Millis(0);
+			this->max_epoch_read = std::max(this->max_epoch_read, owner ? owner->epoch : 0);
+			this->contents.released = owner && owner->released;
+			this->contents.earlier_lease_span = owner ? owner->earlier_lease_span : Millis(0);
 		} else {
-			this->found.records[record.key] = value;
+			this->contents.records[record.key] = value;
 		}
 	}
 	if (page.more && !page.records.empty()) {
@@ -180,22 +179,21 @@
 	this->Claim();
 }
 
-Millis PartitionClaim::ClaimPatience() const
+Millis PartitionClaim::ClaimTimeout() const
 {
-	return std::clamp(Millis(this->look_took.Value() * CLAIM_PATIENCE_FACTOR), CLAIM_PATIENCE_LEAST,
-					  CLAIM_PATIENCE_MOST);
+	return std::clamp(Millis(this->owner_read_duration.Value() * CLAIM_TIMEOUT_FACTOR), MIN_CLAIM_TIMEOUT,
+					  MAX_CLAIM_TIMEOUT);
 }
 
 void PartitionClaim::Claim()
 {
-	/* An own claim whose answer was lost may still come: the next one has to be above it. */
-	const uint64_t epoch = std::max(this->epoch_found, this->epoch_tried) + 1;
+	/* A claim of this node whose answer was lost may still arrive, so the next epoch must be higher. */
+	const uint64_t epoch = std::max(this->max_epoch_read, this->epoch_tried) + 1;
 	this->epoch_tried = epoch;
-	const ClaimNumber number{epoch, this->OwnSequence(epoch)};
-	const AppendCondition condition{this->first_end, OWNER_PRODUCER, epoch, number.sequence};
+	const ClaimNumber number{epoch, this->FirstSequence(epoch)};
+	const AppendCondition condition{this->load_end, OWNER_PRODUCER, epoch, number.sequence};
 	const StoredOwner self{epoch, this->spec.address, false, Millis(0)};
-	this->log.Append(this->spec.partition, {KeyedRecord{OWNER_KEY, EncodeOwner(self)}}, condition,
-					 this->ClaimPatience(),
+	this->log.Append(this->spec.partition, {KeyedRecord{OWNER_KEY, EncodeOwner(self)}}, condition, this->ClaimTimeout(),
 					 [this, number, still = std::weak_ptr<bool>(this->alive)](const KeyedAppendAnswer &answer) {
 						 if (!still.expired()) {
 							 this->OnClaimed(number, answer);
@@ -203,10 +201,10 @@
 					 });
 }
 
-uint64_t PartitionClaim::OwnSequence(uint64_t epoch) const
+uint64_t PartitionClaim::FirstSequence(uint64_t epoch) const
 {
-	/* Two nodes may try the same epoch at the same moment. With the same sequence number the log would take the second
-	 * claim for a repeat of the first, and both would own the partition: two runs of a task at once. */
+	/* Two nodes may try the same epoch at the same moment. With equal sequence numbers the log would take the second
+	 * claim for a repeat of the first, and both would own the partition and run a task twice at the same time. */
 	const std::string text =
 			this->spec.address + "/" + std::to_string(this->scheduler.WallNow().Value()) + "/" + std::to_string(epoch);
 	return XXH3_64bits(text.data(), text.size()) >> SEQUENCE_SHIFT;
@@ -218,22 +216,22 @@
 		this->events.Write("claim_failed", {{"topic", this->spec.partition.topic},
 											{"epoch", std::to_string(number.epoch)},
 											{"code", SymbolOf(answer.code)}});
-		/* What was read is old when the log has moved on: read again at once. */
-		this->TryAgain(answer.code == ResultCode::RC_STALE_TERM ? Millis(0) : CLAIM_AGAIN);
+		/* RC_STALE_TERM: something was appended after the records read, so read again at once. */
+		this->Retry(answer.code == ResultCode::RC_STALE_TERM ? Millis(0) : CLAIM_RETRY_DELAY);
 		return;
 	}
-	this->found.number = number;
+	this->contents.number = number;
 	this->FenceSpare();
 }
 
 void PartitionClaim::FenceSpare()
 {
-	/* The same number each time: a repeated append has its effect once. */
-	const AppendCondition condition{std::nullopt, OWNER_PRODUCER, this->found.number.epoch,
-									this->found.number.sequence};
-	const StoredOwner self{this->found.number.epoch, this->spec.address, false, Millis(0)};
+	/* Repeats use the same sequence number, so that the append takes effect once. */
+	const AppendCondition condition{std::nullopt, OWNER_PRODUCER, this->contents.number.epoch,
+									this->contents.number.sequence};
+	const StoredOwner self{this->contents.number.epoch, this->spec.address, false, Millis(0)};
 	this->log.Append(SparePartitionOf(this->spec.partition), {KeyedRecord{OWNER_KEY, EncodeOwner(self)}}, condition,
-					 this->ClaimPatience(),
+					 this->ClaimTimeout(),
 					 [this, still = std::weak_ptr<bool>(this->alive)](const KeyedAppendAnswer &answer) {
 						 if (!still.expired()) {
 							 this->OnSpareFenced(answer);
@@ -247,19 +245,19 @@
 		if (this->spec.read_spare) {
 			this->LoadSparePage({});
 		} else {
-			this->Finish();
+			this->ReportClaimed();
 		}
 		return;
 	}
 	this->events.Write("claim_failed", {{"topic", this->spec.partition.topic},
-										{"epoch", std::to_string(this->found.number.epoch)},
+										{"epoch", std::to_string(this->contents.number.epoch)},
 										{"code", SymbolOf(answer.code)},
 										{"step", "spare"}});
 	if (answer.code == ResultCode::RC_FENCED || answer.code == ResultCode::RC_STALE_TERM) {
-		this->TryAgain(Millis(0)); /* Another owner has claimed since. */
+		this->Retry(Millis(0)); /* Another owner has claimed the partition since. */
 		return;
 	}
-	this->timer = this->scheduler.After(CLAIM_AGAIN, [this] { this->FenceSpare(); });
+	this->timer = this->scheduler.After(CLAIM_RETRY_DELAY, [this] { this->FenceSpare(); });
 }
 
 void PartitionClaim::LoadSparePage(const std::string &after)
@@ -275,28 +273,28 @@
 void PartitionClaim::OnSparePage(const NewestPage &page)
 {
 	if (page.code != ResultCode::RC_OK) {
-		this->found.spare.clear();
-		this->timer = this->scheduler.After(CLAIM_AGAIN, [this] { this->LoadSparePage({}); });
+		this->contents.spare.clear();
+		this->timer = this->scheduler.After(CLAIM_RETRY_DELAY, [this] { this->LoadSparePage({}); });
 		return;
 	}
 	for (const KeyedRecord &record : page.records) {
 		if (record.key != OWNER_KEY) {
-			this->found.spare[record.key] = record.value.value_or(std::string());
+			this->contents.spare[record.key] = record.value.value_or(std::string());
 		}
 	}
 	if (page.more && !page.records.empty()) {
 		this->LoadSparePage(page.records.back().key);
 		return;
 	}
-	this->Finish();
+	this->ReportClaimed();
 }
 
-void PartitionClaim::Finish()
+void PartitionClaim::ReportClaimed()
 {
 	this->events.Write("claimed", {{"topic", this->spec.partition.topic},
-								   {"epoch", std::to_string(this->found.number.epoch)},
-								   {"released", this->found.released ? "yes" : "no"},
-								   {"records", std::to_string(this->found.records.size())},
-								   {"spare", std::to_string(this->found.spare.size())}});
-	this->done(this->found);
+								   {"epoch", std::to_string(this->contents.number.epoch)},
+								   {"released", this->contents.released ? "yes" : "no"},
+								   {"records", std::to_string(this->contents.records.size())},
+								   {"spare", std::to_string(this->contents.spare.size())}});
+	this->done(this->contents);
 }
--- a/src/store/record_codec.h
+++ b/src/store/record_codec.h
@@ -1,4 +1,4 @@
-/** @file record_codec.h Packing of FlatBuffers records with a format number. */
+/** @file record_codec.h Encoding of FlatBuffers records that carry a format number. */
 #ifndef RECORD_CODEC_H
 #define RECORD_CODEC_H
 
@@ -8,13 +8,13 @@
 #include <string>
 #include <string_view>
 
-inline constexpr uint32_t RECORD_FORMAT = 1; ///< Format written; a later one is not read.
+inline constexpr uint32_t RECORD_FORMAT = 1; ///< Format that is written; records of later formats are rejected.
 
 /**
- * Packs a native record.
- * @tparam Table Its FlatBuffers type.
+ * Encodes a native record.
+ * @tparam Table FlatBuffers type of the record.
  * @param native The record.
- * @return Bytes.
+ * @return The encoded record.
  */
 template <class Table, class Native>
 std::string PackRecord(const Native &native)
@@ -25,10 +25,10 @@
 }
 
 /**
- * Verifies and unpacks a record.
- * @tparam Table Its FlatBuffers type.
- * @param bytes The record.
- * @return It, or null when the bytes are no such record or of a later format.
+ * Verifies and decodes a record.
+ * @tparam Table FlatBuffers type of the record.
+ * @param bytes The encoded record.
+ * @return The native record, or null when it is malformed or of a later format.
  */
 template <class Table>
 std::unique_ptr<typename Table::NativeTableType> UnpackRecord(std::string_view bytes)
