--- a/src/account/account_book.cpp
+++ b/src/account/account_book.cpp
@@ -1,4 +1,4 @@
-/** @file account_book.cpp What each account has running at one service. */
+/** @file account_book.cpp Resources in use by each account at one service. */
 #include "account_book.h"
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::array KINDS = {&Resources::cpu, &Resources::memory, &Resources::accelerators};
+constexpr std::array RESOURCE_KINDS = {&Resources::cpu, &Resources::memory, &Resources::accelerators};
 
-/** @return An amount times a ratio of parts, without losing digits. */
-int64_t PartOf(int64_t amount, uint64_t parts)
+/** @return The given parts of SHARE_WHOLE of an amount, computed without losing digits. */
+int64_t AmountOfParts(int64_t amount, uint64_t parts)
 {
 	return static_cast<int64_t>(static_cast<long double>(amount) * static_cast<long double>(parts) / SHARE_WHOLE);
 }
@@ -22,10 +22,10 @@
 AccountBook::Use &AccountBook::UseOf(const AccountName &account)
 {
 	const auto it = this->uses.find(account);
-	return it != this->uses.end() ? it->second : this->uses.emplace(account, this->FreshUse(account)).first->second;
+	return it != this->uses.end() ? it->second : this->uses.emplace(account, this->NewUse(account)).first->second;
 }
 
-AccountBook::Use AccountBook::FreshUse(const AccountName &account) const
+AccountBook::Use AccountBook::NewUse(const AccountName &account) const
 {
 	const ClientAccount *known = this->accounts ? this->accounts->Find(account) : nullptr;
 	Use use;
@@ -34,15 +34,15 @@
 	return use;
 }
 
-void AccountBook::NoteFalls(const AccountList &before, const AccountList &now)
+void AccountBook::NoteLoweredMaxima(const AccountList &before, const AccountList &now)
 {
 	for (const ClientAccount &it : now.All()) {
 		const ClientAccount *old = before.Find(it.name);
-		const bool falls = std::ranges::any_of(KINDS, [&](int64_t Resources::*kind) {
+		const bool lowered = std::ranges::any_of(RESOURCE_KINDS, [&](int64_t Resources::*kind) {
 			const int64_t limit = it.maximum.*kind;
 			return limit > 0 && (old == nullptr || old->maximum.*kind == 0 || old->maximum.*kind > limit);
 		});
-		if (falls) {
+		if (lowered) {
 			this->UseOf(it.name).version = this->version;
 		}
 	}
@@ -51,15 +51,15 @@
 void AccountBook::Configure(std::shared_ptr<const AccountList> accounts, size_t services, uint64_t version)
 {
 	const std::shared_ptr<const AccountList> before = std::exchange(this->accounts, std::move(accounts));
-	this->fixed = FixedShare(services);
+	this->fixed_parts = FixedShare(services);
 	this->version = version;
 	if (this->first_version == 0) {
 		this->first_version = version;
 	} else if (before && this->accounts) {
-		this->NoteFalls(*before, *this->accounts);
+		this->NoteLoweredMaxima(*before, *this->accounts);
 	}
 	for (auto &[name, use] : this->uses) {
-		/* One that is gone keeps its last figures for the jobs that it handed in. */
+		/* An account that was removed keeps its last maximum for the jobs that it has submitted. */
 		if (const ClientAccount *known = this->accounts ? this->accounts->Find(name) : nullptr; known != nullptr) {
 			use.maximum = known->maximum;
 		}
@@ -86,17 +86,17 @@
 		return true;
 	}
 	const auto it = this->uses.find(account);
-	const Use use = it == this->uses.end() ? this->FreshUse(account) : it->second;
+	const Use use = it == this->uses.end() ? this->NewUse(account) : it->second;
 	if (use.maximum == Resources{}) {
 		return true;
 	}
-	if (use.over || this->version_of_all < use.version) {
+	if (use.over || this->min_applied_version < use.version) {
 		return false;
 	}
-	const uint64_t parts = uint64_t{this->fixed} + use.lent;
-	return std::ranges::all_of(KINDS, [&](int64_t Resources::*kind) {
+	const uint64_t parts = uint64_t{this->fixed_parts} + use.lent;
+	return std::ranges::all_of(RESOURCE_KINDS, [&](int64_t Resources::*kind) {
 		return use.maximum.*kind == 0 || demand.*kind == 0 ||
-			   use.used.*kind + demand.*kind <= PartOf(use.maximum.*kind, parts);
+			   use.used.*kind + demand.*kind <= AmountOfParts(use.maximum.*kind, parts);
 	});
 }
 
@@ -129,14 +129,15 @@
 	if (it == this->uses.end()) {
 		return 1;
 	}
-	double part = 1;
-	for (int64_t Resources::*kind : KINDS) {
+	double fraction = 1;
+	for (int64_t Resources::*kind : RESOURCE_KINDS) {
 		const int64_t room = it->second.maximum.*kind - it->second.used.*kind;
 		if (it->second.maximum.*kind > 0 && ready.*kind > 0) {
-			part = std::min(part, static_cast<double>(std::max<int64_t>(room, 0)) / static_cast<double>(ready.*kind));
+			fraction = std::min(fraction,
+								static_cast<double>(std::max<int64_t>(room, 0)) / static_cast<double>(ready.*kind));
 		}
 	}
-	return part;
+	return fraction;
 }
 
 void AccountBook::ApplyLoan(const ShareLoan &loan)
@@ -146,7 +147,7 @@
 	}
 	this->ledger_epoch = loan.ledger_epoch;
 	this->sequence = loan.sequence;
-	this->version_of_all = loan.config;
+	this->min_applied_version = loan.config;
 	for (const ShareGrant &it : loan.grants) {
 		Use &use = this->UseOf(it.account);
 		use.lent = it.parts;
@@ -157,7 +158,7 @@
 uint32_t AccountBook::PartsOf(const Resources &amount, const Resources &maximum)
 {
 	double most = 0;
-	for (int64_t Resources::*kind : KINDS) {
+	for (int64_t Resources::*kind : RESOURCE_KINDS) {
 		if (maximum.*kind > 0) {
 			most = std::max(most, static_cast<double>(amount.*kind) / static_cast<double>(maximum.*kind));
 		}
@@ -171,7 +172,9 @@
 	for (const auto &[account, amount] : ready) {
 		this->UseOf(account);
 	}
-	const auto beyond = [this](uint32_t parts) { return parts > this->fixed ? parts - this->fixed : 0; };
+	const auto beyond_fixed = [this](uint32_t parts) {
+		return parts > this->fixed_parts ? parts - this->fixed_parts : 0;
+	};
 	for (auto &[account, use] : this->uses) {
 		if (account.Value().empty() || use.maximum == Resources{}) {
 			continue;
@@ -180,8 +183,8 @@
 		if (const auto it = ready.find(account); it != ready.end()) {
 			all += it->second;
 		}
-		const uint32_t used = beyond(PartsOf(use.used, use.maximum));
-		const uint32_t want = beyond(PartsOf(all, use.maximum));
+		const uint32_t used = beyond_fixed(PartsOf(use.used, use.maximum));
+		const uint32_t want = beyond_fixed(PartsOf(all, use.maximum));
 		const uint32_t hold = std::max(use.lent, used);
 		if (hold > 0 || want > 0) {
 			report.statements.push_back(ShareStatement{account, hold, want});
--- a/src/account/account_book.h
+++ b/src/account/account_book.h
@@ -1,4 +1,4 @@
-/** @file account_book.h What each account has running at one service, and whether more may start. Pure. */
+/** @file account_book.h Resources in use by each account at one service, and whether more tasks may start. No I/O. */
 #ifndef ACCOUNT_BOOK_H
 #define ACCOUNT_BOOK_H
 
@@ -9,72 +9,74 @@
 #include <memory>
 
 /**
- * Counts what is placed, from the moment at which that is decided until its end is known: never less than what runs. A
- * start fits when the account stays within the service's share of its maximum: the fixed part and what is lent. A
- * maximum that falls below what runs stops nothing that runs; nothing of the account starts anywhere until the ledger
- * has heard from all services by the new maximum and what they hold has fallen to it. The same holds for a new owner,
- * which can't know of a fall before its time.
+ * Counts the demands of placed tasks, from the placement decision until the end of the run is known, so the count is
+ * never below what runs. A task fits when the account stays within the service's share of its maximum: the fixed part
+ * and the parts lent by the ledger. A maximum that is lowered below the usage stops no run, but no task of the account
+ * starts at any service until the ledger has reports from all services under the new maximum and their usage has fallen
+ * to it. The same holds for a new owner, which can't know whether a maximum was lowered before it took over.
  */
 class AccountBook {
 public:
-	/** An account at this service. */
+	/** State of an account at this service. */
 	struct Use {
-		Resources used;       ///< Of what is placed.
-		Resources maximum;    ///< By the last configuration that has the account; 0 of a kind for no limit.
-		uint32_t lent = 0;    ///< Parts lent.
-		bool over = false;    ///< All services together have too much running.
-		uint64_t version = 0; ///< All services have to reckon by this version before anything starts.
+		Resources used;       ///< Total demand of the placed tasks.
+		Resources maximum;    ///< Maximum in the last configuration with the account; 0 of a kind: no limit.
+		uint32_t lent = 0;    ///< Parts lent by the ledger, of SHARE_WHOLE.
+		bool over = false;    ///< Whether the usage at all services together exceeds the maximum.
+		uint64_t version = 0; ///< Configuration version that all services must apply before tasks start.
 	};
 
-	/** An account at this service, for dumps. */
+	/** An account and its state, for dumps. */
 	struct NamedUse {
-		AccountName account; ///< Its name.
-		Use use;             ///< What is known of it.
+		AccountName account; ///< Name of the account.
+		Use use;             ///< Its state.
 	};
 
-	/** Takes a configuration. @param accounts Its accounts; null where there are none. @param services How many
-	 * services there are. @param version Its version. */
+	/** Applies a configuration. @param accounts Its accounts; null for none. @param services Number of services. @param
+	 * version Version of the configuration. */
 	void Configure(std::shared_ptr<const AccountList> accounts, size_t services, uint64_t version);
 
-	/** A task was placed. @param account Its account; empty for nobody's. @param demand What it takes. */
+	/** Adds a placed task. @param account Account of the task; empty for none. @param demand Resources of the task. */
 	void Add(const AccountName &account, const Resources &demand);
-	/** It has ended, or was not started. @param account Its account. @param demand What it took. */
+	/** Removes a task that has ended or was not started. @param account Account of the task; empty for none. @param
+	 * demand Resources of the task. */
 	void Remove(const AccountName &account, const Resources &demand);
-	/** @return Whether tasks may start. @param account Their account. @param demand What they take together. */
+	/** @return Whether tasks may start. @param account Account of the tasks. @param demand Total resources of the
+	 * tasks. */
 	[[nodiscard]] bool Fits(const AccountName &account, const Resources &demand) const;
 
-	/** @return What an account has placed here. @param account The account. */
+	/** @return Total demand of an account's tasks placed here. @param account Name of the account. */
 	[[nodiscard]] Resources UsedBy(const AccountName &account) const;
-	/** @return An account's weight: jobs a second that it may count on, or 1 when none are stated. @param account The
-	 * account. */
+	/** @return Weight of an account: its guaranteed rate in jobs per second, or 1 when the configuration has none.
+	 * @param account Name of the account. */
 	[[nodiscard]] double WeightOf(const AccountName &account) const;
-	/** @return The accounts that have most placed here, by processor time. @param most How many at most. */
+	/** @return The accounts with the largest usage here, by processor time. @param most Limit of their number. */
 	[[nodiscard]] std::vector<NamedUse> Largest(size_t most) const;
-	/** @return Version by which all services reckon, as the ledger has told. */
-	[[nodiscard]] uint64_t MinAppliedVersion() const { return this->version_of_all; }
-	/** @return The part of what an account's tasks ask for that its maximum leaves room for, from 0 to 1. @param
-	 * account The account. @param ready What they ask for. */
+	/** @return Configuration version that all services have applied, or a later one, by the newest loan. */
+	[[nodiscard]] uint64_t MinAppliedVersion() const { return this->min_applied_version; }
+	/** @return Fraction of the demand of an account's ready tasks that fits into its maximum, from 0 to 1. @param
+	 * account Name of the account. @param ready Total demand of its ready tasks. */
 	[[nodiscard]] double FittingFraction(const AccountName &account, const Resources &ready) const;
 
-	/** Takes what the ledger lends. @param loan It; ignored when a newer one was taken. */
+	/** Applies a loan of the ledger. @param loan The loan; ignored when a newer one was applied. */
 	void ApplyLoan(const ShareLoan &loan);
-	/** Says what is held and wanted. @param ready What tasks whose turn has come ask for, by account. @return All but
-	 * the owner's epoch. */
+	/** Makes the report on parts held and wanted. @param ready Total demand of ready tasks, by account. @return The
+	 * report, without the owner's epoch. */
 	ShareReport Report(const std::map<AccountName, Resources> &ready);
 
 private:
-	std::shared_ptr<const AccountList> accounts; ///< By the configuration in force.
-	uint32_t fixed = SHARE_FIXED;                ///< This service's fixed part.
-	std::map<AccountName, Use> uses;             ///< By account.
-	uint64_t ledger_epoch = 0;                   ///< Of the newest loan taken.
-	uint64_t sequence = 0;                       ///< The same.
-	uint64_t version = 0;                        ///< Of the configuration in force.
-	uint64_t first_version = 0;                  ///< Of the one that was in force first.
-	uint64_t version_of_all = 0;                 ///< All services reckon by this version or a later one.
+	std::shared_ptr<const AccountList> accounts; ///< Accounts of the configuration in force; null for none.
+	uint32_t fixed_parts = SHARE_FIXED;          ///< Fixed parts of this service, of SHARE_WHOLE.
+	std::map<AccountName, Use> uses;             ///< State by account.
+	uint64_t ledger_epoch = 0;                   ///< Ledger epoch of the newest loan applied.
+	uint64_t sequence = 0;                       ///< Sequence number of that loan.
+	uint64_t version = 0;                        ///< Version of the configuration in force.
+	uint64_t first_version = 0;                  ///< Version of the first configuration applied.
+	uint64_t min_applied_version = 0;            ///< See MinAppliedVersion().
 
 	Use &UseOf(const AccountName &account);
-	[[nodiscard]] Use FreshUse(const AccountName &account) const;
-	void NoteFalls(const AccountList &before, const AccountList &now);
+	[[nodiscard]] Use NewUse(const AccountName &account) const;
+	void NoteLoweredMaxima(const AccountList &before, const AccountList &now);
 	[[nodiscard]] static uint32_t PartsOf(const Resources &amount, const Resources &maximum);
 };
 
--- a/src/account/account_list.cpp
+++ b/src/account/account_list.cpp
@@ -1,11 +1,11 @@
-/** @file account_list.cpp Client accounts, as the configuration has them. */
+/** @file account_list.cpp Client accounts of a configuration. */
 #include "account_list.h"
 
 #include <utility>
 
 namespace {
 
-/** @return What stands under a name, or null. */
+/** @return The account under a key of a map, or null. */
 const ClientAccount *LookUp(const std::unordered_map<std::string, const ClientAccount *> &map, const std::string &name)
 {
 	const auto it = map.find(name);
@@ -22,9 +22,9 @@
 AccountList::AccountList(std::vector<ClientAccount> accounts) : accounts(std::move(accounts))
 {
 	for (const ClientAccount &it : this->accounts) {
-		this->clashes = !this->by_name.emplace(it.name.Value(), &it).second || this->clashes;
+		this->duplicates = !this->by_name.emplace(it.name.Value(), &it).second || this->duplicates;
 		for (const KeyHash &key : it.keys) {
-			this->clashes = !this->by_key.emplace(key.Value(), &it).second || this->clashes;
+			this->duplicates = !this->by_key.emplace(key.Value(), &it).second || this->duplicates;
 		}
 	}
 }
--- a/src/account/fair_split.h
+++ b/src/account/fair_split.h
@@ -1,4 +1,4 @@
-/** @file fair_split.h Splits what there is over those who want some. Pure. */
+/** @file fair_split.h Max-min fair allocation, plain and weighted. No I/O. */
 #ifndef FAIR_SPLIT_H
 #define FAIR_SPLIT_H
 
@@ -6,24 +6,24 @@
 #include <vector>
 
 /**
- * Max-min fair split: nobody gets more than they want, and who gets less than they want gets as much as any other.
- * @param wants What each wants.
- * @param whole What there is.
- * @return What each gets, in the same order.
+ * Max-min fair allocation: nobody gets more than their demand, and whoever gets less than it gets as much as any other.
+ * @param wants Demands.
+ * @param whole Amount to allocate.
+ * @return Allocations, in the order of the demands.
  */
 std::vector<uint32_t> FairSplit(const std::vector<uint32_t> &wants, uint32_t whole);
 
-/** Who wants a part, and how much of it they may count on. */
+/** A demand and its weight. */
 struct WeightedWant {
-	double want = 0;   ///< What they want.
-	double weight = 1; ///< Their weight; over 0.
+	double want = 0;   ///< Amount demanded.
+	double weight = 1; ///< Weight; greater than 0.
 };
 
 /**
- * The same by weights: who gets less than they want gets as much for their weight as any other.
- * @param wants What each wants.
- * @param whole What there is.
- * @return What each gets, in the same order.
+ * Weighted max-min fair allocation: whoever gets less than their demand gets as much per weight as any other.
+ * @param wants Demands and their weights.
+ * @param whole Amount to allocate; below 0 counts as 0.
+ * @return Allocations, in the order of the demands.
  */
 std::vector<double> WeightedSplit(const std::vector<WeightedWant> &wants, double whole);
 
--- a/src/account/key_check.cpp
+++ b/src/account/key_check.cpp
@@ -1,4 +1,4 @@
-/** @file key_check.cpp Whether a caller's key is one of the configuration in force. */
+/** @file key_check.cpp Checks whether a caller's key is in the configuration in force. */
 #include "key_check.h"
 
 #include <algorithm>
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr Millis CONFIRM_WAIT(400);   ///< A question without an answer by then has failed; a slow store takes 250 ms.
-constexpr Millis QUESTION_GAP(100);   ///< Least time between two questions.
-constexpr Millis REFUSED_FOR(1000);   ///< A refused key is remembered so long: a new key works within this time.
-constexpr size_t REFUSED_MOST = 4096; ///< Refused keys that are remembered.
+constexpr Millis CONFIRM_TIMEOUT(400);     ///< Timeout of a confirmation; a slow store takes 250 ms.
+constexpr Millis CONFIRM_DELAY(100);       ///< Delay between the end of a confirmation and the next one.
+constexpr Millis REFUSED_CACHE_TIME(1000); ///< Time that a refused key is cached: a new key works within this time.
+constexpr size_t MAX_REFUSED_KEYS = 4096;  ///< Limit of the cached refused keys.
 
 } // namespace
 
@@ -19,68 +19,68 @@
 	return now ? now->FindByKey(key) : nullptr;
 }
 
-void KeyCheck::DropOld()
+void KeyCheck::DropStaleRefusals()
 {
-	const bool old = this->scheduler.Now() - this->refused_since >= REFUSED_FOR;
+	const bool old = this->scheduler.Now() - this->refused_since >= REFUSED_CACHE_TIME;
 	const bool newer = std::exchange(this->refused_by, this->accounts()) != this->accounts();
-	if (old || newer || this->refused.size() >= REFUSED_MOST) {
-		this->refused.clear();
+	if (old || newer || this->refused_keys.size() >= MAX_REFUSED_KEYS) {
+		this->refused_keys.clear();
 	}
-	if (this->refused.empty()) {
+	if (this->refused_keys.empty()) {
 		this->refused_since = this->scheduler.Now();
 	}
 }
 
 void KeyCheck::Check(const KeyHash &key, Done done)
 {
-	this->DropOld();
+	this->DropStaleRefusals();
 	const bool known = this->Find(key) != nullptr;
-	if (known || this->refused.contains(key.Value())) {
+	if (known || this->refused_keys.contains(key.Value())) {
 		done(known ? KeyVerdict::KV_KNOWN : KeyVerdict::KV_UNKNOWN);
 		return;
 	}
 	this->waiting.push_back(Waiting{key, std::move(done)});
-	if (!this->asking) {
-		this->Question();
+	if (!this->confirming) {
+		this->StartConfirmation();
 	}
 }
 
-void KeyCheck::Question()
+void KeyCheck::StartConfirmation()
 {
 	if (this->waiting.empty()) {
-		this->asking = false;
+		this->confirming = false;
 		return;
 	}
-	this->asking = true;
-	this->asked = std::exchange(this->waiting, {});
-	const uint64_t number = ++this->questions;
+	this->confirming = true;
+	this->in_confirmation = std::exchange(this->waiting, {});
+	const uint64_t number = ++this->confirmations;
 	const std::weak_ptr<bool> still(this->alive);
 	const auto answer = [this, number, still](bool confirmed) {
 		if (!still.expired()) {
 			this->OnAnswer(number, confirmed);
 		}
 	};
-	this->scheduler.After(CONFIRM_WAIT, [answer] { answer(false); });
+	this->scheduler.After(CONFIRM_TIMEOUT, [answer] { answer(false); });
 	this->confirm(answer);
 }
 
 void KeyCheck::OnAnswer(uint64_t number, bool confirmed)
 {
-	if (number != this->questions || this->asked.empty()) {
-		return; /* Answered before, or too late. */
+	if (number != this->confirmations || this->in_confirmation.empty()) {
+		return; /* Already answered, or timed out. */
 	}
-	this->DropOld();
-	for (const Waiting &it : std::exchange(this->asked, {})) {
+	this->DropStaleRefusals();
+	for (const Waiting &it : std::exchange(this->in_confirmation, {})) {
 		const bool known = this->Find(it.key) != nullptr;
 		if (!known && confirmed) {
-			this->refused.insert(it.key.Value());
+			this->refused_keys.insert(it.key.Value());
 		}
 		const KeyVerdict verdict = confirmed ? KeyVerdict::KV_UNKNOWN : KeyVerdict::KV_UNSURE;
 		it.done(known ? KeyVerdict::KV_KNOWN : verdict);
 	}
-	this->scheduler.After(QUESTION_GAP, [this, still = std::weak_ptr<bool>(this->alive)] {
+	this->scheduler.After(CONFIRM_DELAY, [this, still = std::weak_ptr<bool>(this->alive)] {
 		if (!still.expired()) {
-			this->Question();
+			this->StartConfirmation();
 		}
 	});
 }
--- a/src/account/key_check.h
+++ b/src/account/key_check.h
@@ -1,4 +1,4 @@
-/** @file key_check.h Whether a caller's key is one of the configuration in force. Pure but for its clock. */
+/** @file key_check.h Checks whether a caller's key is in the configuration in force. No I/O, but a clock and timers. */
 #ifndef KEY_CHECK_H
 #define KEY_CHECK_H
 
@@ -10,65 +10,64 @@
 #include <unordered_set>
 #include <vector>
 
-/** What is known of a key. */
+/** Result of a key check. */
 enum class KeyVerdict : uint8_t {
-	KV_KNOWN = 0,   ///< The configuration has it.
-	KV_UNKNOWN = 1, ///< The configuration in force doesn't have it.
-	KV_UNSURE = 2,  ///< A newer configuration than the one at hand may have it.
+	KV_KNOWN = 0,   ///< The configuration at hand has the key.
+	KV_UNKNOWN = 1, ///< The configuration in force doesn't have the key.
+	KV_UNSURE = 2,  ///< Not at hand, but a newer configuration may have the key.
 };
 
 /**
- * Answers at once for keys that the configuration at hand has. Before a key counts as unknown, the node makes sure that
- * no newer configuration is in force: one that has just started, was paused or can't read the store would refuse
- * callers whose key has come meanwhile. One question serves all who wait, and a refused key is remembered for a moment,
- * so that a flood of bad keys costs ten questions a second.
+ * Checks keys against the configuration at hand, at once when it has the key. Before a key counts as unknown, the node
+ * confirms that no newer configuration is in force: a node that has just started, was paused or can't read the store
+ * would otherwise refuse callers whose key was added meanwhile. One confirmation serves all waiting checks, and refused
+ * keys are cached for a moment, so that a flood of unknown keys costs at most ten confirmations per second.
  */
 class KeyCheck {
 public:
-	/** Makes sure that the configuration at hand is the newest, and tells whether it is known to be. */
+	/** Fetches any newer configuration, and then reports whether the one at hand is known to be the newest. */
 	using Confirm = std::function<void(std::function<void(bool)>)>;
 	using Done = std::function<void(KeyVerdict)>;
-	/** Tells the accounts of the configuration at hand; null where callers need no key. */
+	/** Returns the accounts of the configuration at hand; null where callers need no key. */
 	using Accounts = std::function<std::shared_ptr<const AccountList>()>;
 
-	/** @param scheduler Clock and timers. @param accounts Tells the accounts. @param confirm Asks whether there is a
-	 * newer configuration. */
+	/** @param scheduler Clock and timers. @param accounts Returns the accounts at hand. @param confirm Confirms that
+	 * they are the newest. */
 	KeyCheck(Scheduler &scheduler, Accounts accounts, Confirm confirm)
 			: scheduler(scheduler), accounts(std::move(accounts)), confirm(std::move(confirm))
 	{
 	}
 
-	/** @return The account of a key by the configuration at hand, or null. @param key The key. */
+	/** @return The account of a key in the configuration at hand, or null. @param key Hash of the key. */
 	[[nodiscard]] const ClientAccount *Find(const KeyHash &key) const;
-	/** Finds out whether a key is known. @param key The key. @param done Gets the verdict, perhaps from inside the
-	 * call.
-	 */
+	/** Checks whether a key is known. @param key Hash of the key. @param done Receives the result, possibly from inside
+	 * the call. */
 	void Check(const KeyHash &key, Done done);
 
-	/** @return Questions asked. */
-	[[nodiscard]] uint64_t Confirmations() const { return this->questions; }
+	/** @return Number of confirmations started. */
+	[[nodiscard]] uint64_t Confirmations() const { return this->confirmations; }
 
 private:
-	/** A caller who waits. */
+	/** A check that waits for a confirmation. */
 	struct Waiting {
-		KeyHash key; ///< Its key.
-		Done done;   ///< Gets the verdict.
+		KeyHash key; ///< Hash of the key.
+		Done done;   ///< Receives the result.
 	};
 
-	Scheduler &scheduler;                                       ///< Clock and timers.
-	Accounts accounts;                                          ///< Tells the accounts.
-	Confirm confirm;                                            ///< Asks.
-	std::unordered_set<std::string> refused;                    ///< Keys found unknown a moment ago,
-	std::shared_ptr<const AccountList> refused_by;              ///< and by which accounts.
-	Millis refused_since;                                       ///< When the first of them was.
-	std::vector<Waiting> waiting;                               ///< For the next question.
-	std::vector<Waiting> asked;                                 ///< For the one under way.
-	bool asking = false;                                        ///< Whether a question is under way, or its pause.
-	uint64_t questions = 0;                                     ///< Questions asked.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	Scheduler &scheduler;                          ///< Clock and timers.
+	Accounts accounts;                             ///< Returns the accounts at hand.
+	Confirm confirm;                               ///< Confirms that they are the newest.
+	std::unordered_set<std::string> refused_keys;  ///< Hashes of keys found unknown a moment ago.
+	std::shared_ptr<const AccountList> refused_by; ///< Accounts that don't have those keys.
+	Millis refused_since;                          ///< When the first of those keys was found unknown.
+	std::vector<Waiting> waiting;                  ///< Checks that wait for the next confirmation.
+	std::vector<Waiting> in_confirmation;          ///< Checks served by the confirmation in progress.
+	bool confirming = false;                       ///< Whether a confirmation or the delay after it is in progress.
+	uint64_t confirmations = 0;                    ///< Number of confirmations started.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this object.
 
-	void DropOld();
-	void Question();
+	void DropStaleRefusals();
+	void StartConfirmation();
 	void OnAnswer(uint64_t number, bool confirmed);
 };
 
--- a/src/account/key_hash.cpp
+++ b/src/account/key_hash.cpp
@@ -1,4 +1,4 @@
-/** @file key_hash.cpp Callers' keys, hashed. */
+/** @file key_hash.cpp Hashes of callers' keys. */
 #include "key_hash.h"
 
 #include <QByteArray>
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool SameWord(std::string_view a, std::string_view b)
+bool EqualIgnoringCase(std::string_view a, std::string_view b)
 {
 	return std::ranges::equal(a, b,
 							  [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
@@ -27,7 +27,7 @@
 {
 	if (authorization == nullptr || authorization->size() <= scheme.size() + 1 ||
 		(*authorization)[scheme.size()] != ' ' ||
-		!SameWord(std::string_view(*authorization).substr(0, scheme.size()), scheme)) {
+		!EqualIgnoringCase(std::string_view(*authorization).substr(0, scheme.size()), scheme)) {
 		return std::nullopt;
 	}
 	return HashKey(std::string_view(*authorization).substr(scheme.size() + 1));
--- a/src/account/key_hash.h
+++ b/src/account/key_hash.h
@@ -1,4 +1,4 @@
-/** @file key_hash.h Callers' keys as they come, made into what is kept of them: a hash. */
+/** @file key_hash.h Hashes of callers' keys. */
 #ifndef KEY_HASH_H
 #define KEY_HASH_H
 
@@ -8,14 +8,15 @@
 #include <string>
 #include <string_view>
 
-/** @return Hash of a key. Looking up a hash leaks nothing of the key by the time it takes. @param key The key. */
+/** @return Hash of a key; unlike the key itself, it can be looked up without leaking the key by timing. @param key The
+ * key. */
 KeyHash HashKey(std::string_view key);
 
 /**
- * Reads the key of an Authorization header.
- * @param authorization The header's value; null when there is none.
- * @param scheme The scheme that is taken, without the blank behind it; its case doesn't count.
- * @return Hash of the key; nothing when there is none under this scheme.
+ * Hashes the key of an Authorization header.
+ * @param authorization Value of the header; null when there is none.
+ * @param scheme Accepted scheme, without the blank after it; compared without regard to case.
+ * @return Hash of the key; nothing when the header has no key of this scheme.
  */
 std::optional<KeyHash> KeyHashFromHeader(const std::string *authorization, std::string_view scheme);
 
--- a/src/account/refusal_log.cpp
+++ b/src/account/refusal_log.cpp
@@ -1,18 +1,18 @@
-/** @file refusal_log.cpp Refused callers, counted by reason and client account. */
+/** @file refusal_log.cpp Log of refused callers, counted by reason and client account. */
 #include "refusal_log.h"
 
 #include <utility>
 
 namespace {
 
-constexpr Millis WRITE_EVERY(1000); ///< Lines are written so long after the first refusal.
+constexpr Millis WRITE_DELAY(1000); ///< Time from the first refusal until its lines are written.
 
 } // namespace
 
 void RefusalLog::Count(ResultCode code, const AccountName &account, uint64_t version, Millis age)
 {
 	if (this->rows.empty()) {
-		this->scheduler.After(WRITE_EVERY, [this, still = std::weak_ptr<bool>(this->alive)] {
+		this->scheduler.After(WRITE_DELAY, [this, still = std::weak_ptr<bool>(this->alive)] {
 			if (!still.expired()) {
 				this->Write();
 			}
--- a/src/account/share_ledger.cpp
+++ b/src/account/share_ledger.cpp
@@ -1,4 +1,4 @@
-/** @file share_ledger.cpp Lends the parts of accounts' maxima to services. */
+/** @file share_ledger.cpp Lends parts of the accounts' maxima to services. */
 #include "share_ledger.h"
 
 #include "../store/record_codec.h"
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr std::string_view PREFIX = "share/";            ///< Before an account's name in the key of its record.
-constexpr uint32_t LENDABLE = SHARE_WHOLE - SHARE_FIXED; ///< Parts that are lent.
+constexpr std::string_view KEY_PREFIX = "share/";        ///< Precedes the account's name in the key of its record.
+constexpr uint32_t LENDABLE = SHARE_WHOLE - SHARE_FIXED; ///< Parts that the ledger may lend.
 
 } // namespace
 
 bool ShareLedger::IsLedgerKey(const std::string &key)
 {
-	return key.starts_with(PREFIX);
+	return key.starts_with(KEY_PREFIX);
 }
 
 bool ShareLedger::Restore(const std::string &key, const std::string &value)
@@ -29,11 +29,11 @@
 	if (!in || in->services.size() != in->parts.size()) {
 		return false;
 	}
-	Rows &rows = this->accounts[AccountName(key.substr(PREFIX.size()))];
+	Rows &rows = this->accounts[AccountName(key.substr(KEY_PREFIX.size()))];
 	for (size_t n = 0; n < in->services.size(); n++) {
 		Row &row = rows[ServiceName(in->services[n])];
 		const uint32_t parts = std::max(row.held, in->parts[n]);
-		/* Until its owner speaks it goes on as it was. */
+		/* Until its owner reports, the row stays as recorded. */
 		row = Row{parts, parts, parts, parts, parts, 0, false};
 	}
 	return true;
@@ -43,39 +43,39 @@
 {
 	Owner &owner = this->owners[service];
 	if (report.owner_epoch < owner.epoch) {
-		return; /* Another owner has taken over: what this one says is over. */
+		return; /* Another owner has taken over: this report is outdated. */
 	}
 	const bool current = report.ledger_epoch == this->epoch && report.sequence == this->sequence;
 	owner.epoch = report.owner_epoch;
 	owner.config = current ? report.config : owner.config;
-	std::map<AccountName, ShareStatement> said;
-	std::ranges::for_each(report.statements, [&said](const ShareStatement &it) { said[it.account] = it; });
-	for (const AccountName &account : said | std::views::keys) {
+	std::map<AccountName, ShareStatement> by_account;
+	std::ranges::for_each(report.statements, [&by_account](const ShareStatement &it) { by_account[it.account] = it; });
+	for (const AccountName &account : by_account | std::views::keys) {
 		this->accounts[account][service];
 	}
 	for (auto &[account, rows] : this->accounts) {
-		const bool over = HeldOf(rows) > LENDABLE;
+		const bool over = TotalHeld(rows) > LENDABLE;
 		const auto row = rows.find(service);
 		if (row == rows.end()) {
 			continue;
 		}
-		const ShareStatement &it = said[account];
+		const ShareStatement &it = by_account[account];
 		row->second.want = it.want;
 		if (current) {
-			row->second.taken = row->second.lent;
-			row->second.told_over = over;
+			row->second.applied = row->second.lent;
+			row->second.over_acknowledged = over;
 			row->second.held = row->second.stated = it.hold;
 		}
 	}
 }
 
-uint64_t ShareLedger::HeldOf(const Rows &rows)
+uint64_t ShareLedger::TotalHeld(const Rows &rows)
 {
 	return std::accumulate(rows.begin(), rows.end(), uint64_t{0},
 						   [](uint64_t sum, const auto &it) { return sum + it.second.held; });
 }
 
-uint64_t ShareLedger::ConfigOfAll() const
+uint64_t ShareLedger::MinAppliedConfig() const
 {
 	uint64_t least = std::numeric_limits<uint64_t>::max();
 	for (const ServiceName &it : this->services) {
@@ -85,25 +85,24 @@
 	return least;
 }
 
-bool ShareLedger::Share(Rows &rows)
+bool ShareLedger::Allocate(Rows &rows)
 {
-	const uint64_t held = HeldOf(rows);
-	const bool short_of =
-			std::ranges::any_of(rows | std::views::values, [](const Row &it) { return it.want > it.held; });
-	if (!short_of && held <= LENDABLE) {
+	const uint64_t held = TotalHeld(rows);
+	const bool unmet = std::ranges::any_of(rows | std::views::values, [](const Row &it) { return it.want > it.held; });
+	if (!unmet && held <= LENDABLE) {
 		std::ranges::for_each(rows | std::views::values, [](Row &it) { it.decided = it.held; });
 		return false;
 	}
 	std::vector<uint32_t> wants;
 	std::ranges::transform(rows | std::views::values, std::back_inserter(wants), [](const Row &it) { return it.want; });
 	const std::vector<uint32_t> targets = FairSplit(wants, LENDABLE);
-	/* What nobody wants now is lent all the same: a queue whose turn comes then begins without asking. */
-	const auto spare = LENDABLE - std::accumulate(targets.begin(), targets.end(), uint32_t{0});
-	const auto ahead = spare / static_cast<uint32_t>(targets.size());
+	/* Parts that nobody wants now are lent, too, so that a queue whose demand rises can start without a request. */
+	const auto unclaimed = LENDABLE - std::accumulate(targets.begin(), targets.end(), uint32_t{0});
+	const auto extra = unclaimed / static_cast<uint32_t>(targets.size());
 	uint64_t free = held < LENDABLE ? LENDABLE - held : 0;
 	bool raised = false;
 	for (size_t n = 0; auto &[service, row] : rows) {
-		const uint32_t target = targets[n++] + ahead;
+		const uint32_t target = targets[n++] + extra;
 		row.decided = static_cast<uint32_t>(std::min<uint64_t>(target, row.held + free));
 		if (row.decided > row.held) {
 			free -= row.decided - row.held;
@@ -118,7 +117,7 @@
 {
 	std::vector<KeyedRecord> records;
 	for (auto &[account, rows] : this->accounts) {
-		if (!this->Share(rows)) {
+		if (!this->Allocate(rows)) {
 			continue;
 		}
 		wire::ShareRecordT out;
@@ -129,7 +128,7 @@
 				out.parts.push_back(row.held);
 			}
 		}
-		records.push_back(KeyedRecord{std::string(PREFIX) + account.Value(), PackRecord<wire::ShareRecord>(out)});
+		records.push_back(KeyedRecord{std::string(KEY_PREFIX) + account.Value(), PackRecord<wire::ShareRecord>(out)});
 	}
 	return records;
 }
@@ -144,12 +143,12 @@
 
 ShareLoan ShareLedger::LoanOf(const ServiceName &service) const
 {
-	ShareLoan loan{this->epoch, this->sequence, this->ConfigOfAll(), {}};
+	ShareLoan loan{this->epoch, this->sequence, this->MinAppliedConfig(), {}};
 	for (const auto &[account, rows] : this->accounts) {
-		const bool over = HeldOf(rows) > LENDABLE;
+		const bool over = TotalHeld(rows) > LENDABLE;
 		const auto it = rows.find(service);
 		const Row row = it == rows.end() ? Row{} : it->second;
-		if (row.lent != row.taken || row.lent != row.stated || over || row.told_over) {
+		if (row.lent != row.applied || row.lent != row.stated || over || row.over_acknowledged) {
 			loan.grants.push_back(ShareGrant{account, row.lent, over});
 		}
 	}
@@ -162,5 +161,5 @@
 	if (it == this->accounts.end()) {
 		return 0;
 	}
-	return HeldOf(it->second);
+	return TotalHeld(it->second);
 }
--- a/src/account/share_ledger.h
+++ b/src/account/share_ledger.h
@@ -1,4 +1,4 @@
-/** @file share_ledger.h Lends the parts of accounts' maxima to services, by turns as their queues rise. Pure. */
+/** @file share_ledger.h Lends parts of the accounts' maxima to services, according to their demand. No I/O. */
 #ifndef SHARE_LEDGER_H
 #define SHARE_LEDGER_H
 
@@ -9,64 +9,65 @@
 #include <optional>
 
 /**
- * One owner's ledger. What a service may use rises only after that was recorded, and is lent to another one only after
- * the service's owner has said that it holds less; so the sum never exceeds the whole, whoever is killed or cut off. A
- * service whose owner is away keeps what it holds: the runs there go on, and its next owner tells.
+ * Ledger of the parts lent, kept by one owner. The parts of a service are raised only after that was recorded, and are
+ * lent to another service only after the service's owner has reported that it holds fewer. So the sum never exceeds the
+ * maximum, whichever node crashes or is unreachable. A service without a live owner keeps the parts that it holds, as
+ * its runs go on; its next owner reports on them.
  */
 class ShareLedger {
 public:
-	/** @return Whether a record's key is one of these. @param key The key. */
+	/** @return Whether a record belongs to the ledger. @param key Key of the record. */
 	static bool IsLedgerKey(const std::string &key);
-	/** Takes over a record of an earlier owner; of two records of an account, the higher parts count. @param key Its
-	 * key. @param value Its value. @return Whether it could be read. */
+	/** Restores a record of an earlier owner; of two records of an account, the higher parts count. @param key Key of
+	 * the record. @param value Value of the record. @return Whether it could be decoded. */
 	bool Restore(const std::string &key, const std::string &value);
-	/** Begins, with the records taken over. @param epoch Epoch of this owner. */
+	/** Starts lending, once the records are restored. @param epoch Epoch of this owner. */
 	void Begin(uint64_t epoch) { this->epoch = epoch; }
-	/** Takes the services that there are. @param names Their names. */
+	/** Sets the services. @param names Names of all services. */
 	void Configure(std::vector<ServiceName> names) { this->services = std::move(names); }
 
-	/** Takes what a service's owner says. What was said before the newest grants were taken lowers nothing. @param
-	 * service The service. @param report It. */
+	/** Applies the report of a service's owner. A report made before the newest grants were applied lowers no held
+	 * parts. @param service Name of the service. @param report The report. */
 	void ApplyReport(const ServiceName &service, const ShareReport &report);
-	/** Decides anew who may use what. @return What is to be recorded before Commit(). */
+	/** Recomputes the parts of all services. @return Records to be written before Commit(). */
 	std::vector<KeyedRecord> Decide();
-	/** What was decided is recorded: from now on it is lent. */
+	/** Lends the parts decided; to be called once the records of Decide() are durable. */
 	void Commit();
-	/** @return What a service is lent, for its owner: what it hasn't taken yet. @param service The service. */
+	/** @return Grants that a service's owner has not applied yet. @param service Name of the service. */
 	[[nodiscard]] ShareLoan LoanOf(const ServiceName &service) const;
 
-	/** @return Parts of an account that are lent or may be in use, all services together. @param account The account.
-	 */
+	/** @return Parts of an account that are lent or may be in use, at all services together. @param account Name of the
+	 * account. */
 	[[nodiscard]] uint64_t Lent(const AccountName &account) const;
 
 private:
-	/** A service's part of an account. */
+	/** Parts of an account at one service, of SHARE_WHOLE and beyond the fixed part. */
 	struct Row {
-		uint32_t held = 0;      ///< Counted as in use there.
-		uint32_t stated = 0;    ///< Held, as its owner has said last.
-		uint32_t want = 0;      ///< Wanted, as its owner has said last.
-		uint32_t decided = 0;   ///< To be lent once recorded.
-		uint32_t lent = 0;      ///< Lent.
-		uint32_t taken = 0;     ///< Lent, as its owner has taken it.
-		bool told_over = false; ///< Whether its owner has last heard that the account is over its maximum.
+		uint32_t held = 0;              ///< Counted as in use.
+		uint32_t stated = 0;            ///< Held, by the last report.
+		uint32_t want = 0;              ///< Wanted, by the last report.
+		uint32_t decided = 0;           ///< To be lent once recorded.
+		uint32_t lent = 0;              ///< Lent.
+		uint32_t applied = 0;           ///< Lent, by the grants that its owner has applied.
+		bool over_acknowledged = false; ///< Whether its owner knows that the account is over its maximum.
 	};
-	/** An account's rows. */
+	/** Rows of an account, by service. */
 	using Rows = std::map<ServiceName, Row>;
-	/** What is known of a service's owner. */
+	/** State of a service's owner. */
 	struct Owner {
-		uint64_t epoch = 0;  ///< Highest epoch heard.
-		uint64_t config = 0; ///< Version of the configuration by which it has last reckoned.
+		uint64_t epoch = 0;  ///< Highest epoch reported.
+		uint64_t config = 0; ///< Configuration version of its last report.
 	};
 
-	uint64_t epoch = 0;                   ///< Of this owner.
-	uint64_t sequence = 1;                ///< Of the newest grants.
-	std::map<AccountName, Rows> accounts; ///< By account.
-	std::map<ServiceName, Owner> owners;  ///< By service.
-	std::vector<ServiceName> services;    ///< All services.
+	uint64_t epoch = 0;                   ///< Epoch of this owner.
+	uint64_t sequence = 1;                ///< Sequence number of the newest grants.
+	std::map<AccountName, Rows> accounts; ///< Rows by account.
+	std::map<ServiceName, Owner> owners;  ///< Owners by service.
+	std::vector<ServiceName> services;    ///< Names of all services.
 
-	bool Share(Rows &rows);
-	[[nodiscard]] static uint64_t HeldOf(const Rows &rows);
-	[[nodiscard]] uint64_t ConfigOfAll() const;
+	bool Allocate(Rows &rows);
+	[[nodiscard]] static uint64_t TotalHeld(const Rows &rows);
+	[[nodiscard]] uint64_t MinAppliedConfig() const;
 };
 
 #endif /* SHARE_LEDGER_H */
--- a/src/account/share_type.h
+++ b/src/account/share_type.h
@@ -1,4 +1,4 @@
-/** @file share_type.h How much of an account's maximum each service may use: shares, and what is said of them. */
+/** @file share_type.h Shares of an account's maximum that each service may use, and the messages about them. */
 #ifndef SHARE_TYPE_H
 #define SHARE_TYPE_H
 
@@ -7,44 +7,44 @@
 #include <algorithm>
 #include <vector>
 
-/** The whole of an account's maximum; shares are parts of it, of each kind of resource alike. */
+/** Number of parts in an account's maximum; a share is a number of parts, the same for each kind of resource. */
 inline constexpr uint32_t SHARE_WHOLE = 1000000;
-/** Parts that are split evenly over all services for good. The rest is lent by the ledger, which may be out of reach
- * for seconds; with this an account's first jobs at a service wait for nobody. */
+/** Parts that are split evenly over all services permanently; the ledger lends the rest. The ledger may be unreachable
+ * for seconds, and with these parts an account's first jobs at a service needn't wait for it. */
 inline constexpr uint32_t SHARE_FIXED = SHARE_WHOLE * 2 / 25;
 
-/** What a service's owner says of one account: beyond the service's fixed part. */
+/** Usage of one account by the report of a service's owner, beyond the service's fixed part. */
 struct ShareStatement {
-	AccountName account; ///< The account.
-	uint32_t hold = 0; ///< Parts that it uses, or may use until it hears of fewer: the ledger may lend no more of them.
-	uint32_t want = 0; ///< Parts that it could use now.
+	AccountName account; ///< Name of the account.
+	uint32_t hold = 0;   ///< Parts that it uses, or may use until a lower grant arrives: not to be lent elsewhere.
+	uint32_t want = 0;   ///< Parts that it could use now.
 };
 
-/** What the ledger lends a service of one account. */
+/** Parts of one account that the ledger lends to a service. */
 struct ShareGrant {
-	AccountName account; ///< The account.
+	AccountName account; ///< Name of the account.
 	uint32_t parts = 0;  ///< Parts beyond the service's fixed part.
-	bool over = false;   ///< All services together have more running than there is: nothing may start, also not here.
+	bool over = false;   ///< Usage at all services together exceeds the maximum: nothing may start.
 };
 
-/** Statements are made after a set of grants was taken: which, and by which owner of the service. */
+/** Report of a service's owner on all accounts, with the set of grants that it has applied. */
 struct ShareReport {
 	uint64_t owner_epoch = 0;               ///< Epoch of the service's owner.
-	uint64_t ledger_epoch = 0;              ///< Epoch of the ledger's owner that it has last heard.
-	uint64_t sequence = 0;                  ///< Sequence of that ledger's grants that it has last taken.
-	uint64_t config = 0;                    ///< Version of the configuration by which it is reckoned.
-	std::vector<ShareStatement> statements; ///< By account; what isn't named is neither held nor wanted.
+	uint64_t ledger_epoch = 0;              ///< Epoch of the ledger's owner that sent the last grants applied.
+	uint64_t sequence = 0;                  ///< Sequence number of the last grants applied.
+	uint64_t config = 0;                    ///< Version of the configuration by which usage is computed.
+	std::vector<ShareStatement> statements; ///< Usage by account; accounts not listed hold and want no parts.
 };
 
 /** A set of grants for one service. */
 struct ShareLoan {
-	uint64_t ledger_epoch = 0;      ///< Epoch of the ledger's owner: a later owner's count against an earlier one's.
-	uint64_t sequence = 0;          ///< Rises with each set of an epoch.
-	uint64_t config = 0;            ///< All services' owners have reckoned by this version, or a later one.
-	std::vector<ShareGrant> grants; ///< By account; what isn't named is as before.
+	uint64_t ledger_epoch = 0; ///< Epoch of the ledger's owner; loans of a later owner replace those of earlier ones.
+	uint64_t sequence = 0;     ///< Increases with each set of grants in an epoch.
+	uint64_t config = 0;       ///< Configuration version that the owners of all services have applied, or a later one.
+	std::vector<ShareGrant> grants; ///< Grants by account; accounts not listed are unchanged.
 };
 
-/** @return Fixed part of a service. @param services How many services there are. */
+/** @return Fixed parts of a service. @param services Number of services. */
 constexpr uint32_t FixedShare(size_t services)
 {
 	return SHARE_FIXED / static_cast<uint32_t>(std::max<size_t>(services, 1));
