--- a/src/node/config_exchange.cpp
+++ b/src/node/config_exchange.cpp
@@ -1,16 +1,18 @@
-/** @file config_exchange.cpp The newest configuration from other nodes, while the store doesn't tell it. */
+/** @file config_exchange.cpp Fetches the newest configuration from other nodes while the store is unreachable. */
 #include "config_exchange.h"
 
 #include <algorithm>
 
 namespace {
 
-/** A store that has answered nothing for so long is taken for silent: it answers each second also without news. */
+/** Time without an answer after which the store counts as unreachable. The store ends each long poll within a second,
+ * even if there are no new records. */
 constexpr Millis SILENT_AFTER(1300);
-constexpr Millis LOOK_EVERY(200);   ///< Others are asked so often while it is.
-constexpr size_t ASKED_AT_ONCE = 2; ///< Nodes that are asked at each look; a third of them may be turned away as well.
-constexpr size_t CONFIRM_BY = 3;    ///< Nodes that are asked to make sure.
-constexpr size_t KNOWN_MOST = 24;   ///< Nodes that are remembered.
+constexpr Millis LOOK_EVERY(200); ///< Interval of the checks, and of the polls while the store is unreachable.
+constexpr size_t ASKED_AT_ONCE =
+		2;                        ///< Nodes asked per poll; the store may refuse a third of all nodes at the same time.
+constexpr size_t CONFIRM_BY = 3;  ///< Nodes asked per confirmation.
+constexpr size_t KNOWN_MOST = 24; ///< Maximum number of known peers.
 
 } // namespace
 
@@ -46,7 +48,7 @@
 		return;
 	}
 	for (size_t n = 0; n < std::min(ASKED_AT_ONCE, this->known.size()); n++) {
-		this->AskNext(false, [](bool) { /* What it brings is taken as it comes. */ });
+		this->AskNext(false, [](bool) { /* AskNext() applies the answer. */ });
 	}
 }
 
--- a/src/node/config_exchange.h
+++ b/src/node/config_exchange.h
@@ -1,4 +1,4 @@
-/** @file config_exchange.h The newest configuration from other nodes, while the store doesn't tell it. */
+/** @file config_exchange.h Fetches the newest configuration from other nodes while the store is unreachable. */
 #ifndef CONFIG_EXCHANGE_H
 #define CONFIG_EXCHANGE_H
 
@@ -11,69 +11,88 @@
 #include <memory>
 #include <string>
 
-/** What a node asks of another. */
+/** A request of one node to another for its configuration. */
 struct ConfigQuestion {
-	uint64_t version = 0; ///< Version that the asking node has.
-	bool confirm = false; ///< Whether the other is to make sure first that its own is the newest.
+	uint64_t version = 0; ///< Configuration version of the requesting node.
+	bool confirm = false; ///< Whether the peer must confirm with the store that its own version is the newest before it
+						  ///< answers.
 };
 
-/** What the other tells. */
+/** A peer's answer to a ConfigQuestion. */
 struct PeerConfig {
-	uint64_t version = 0; ///< Version that it has.
-	std::string body;     ///< That configuration as it was published; empty when the asking node's isn't older.
-	Millis age;           ///< It knew everything published until so long before its answer.
+	uint64_t version = 0; ///< Configuration version of the peer.
+	std::string body;     ///< Configuration as published; empty unless it is newer than the requesting node's.
+	Millis age;           ///< Time between the peer's last complete read from the store and its answer.
 };
 
-/** Carries questions to other nodes. */
+/** Transport for configuration requests to other nodes. */
 class ConfigPeers {
 public:
 	virtual ~ConfigPeers() = default;
 	using Done = std::function<void(const PeerConfig &)>;
 
-	/** Asks a node. @param address Where it answers. @param question The question. @param done Gets the answer, if one
-	 * comes in time. */
+	/**
+	 * Requests the configuration from a node.
+	 * @param address IP:port of the node's frame server.
+	 * @param question The request.
+	 * @param done Called with the answer; never called if none arrives in time.
+	 */
 	virtual void Ask(const std::string &address, const ConfigQuestion &question, Done done) = 0;
 };
 
-/**
- * A store that turns a node away leaves it with an old configuration: revoked keys would work there on and new ones
- * would not. Such a node asks others, by turns, as long as the store says nothing; a node that hears the store asks
- * nobody. What comes is checked as if it had come from the store, and never replaces a newer version.
- */
+/** A node that the store refuses would keep an old configuration: revoked keys would still be accepted and new ones
+ * rejected. While the store does not answer, such a node polls other nodes in turn; a node that the store answers polls
+ * nobody. A configuration from a peer is validated like one from the store and never replaces a newer version. */
 class ConfigExchange {
 public:
-	/** @param scheduler Clock and timers. @param feed What this node knows; outlives this. @param peers Other nodes;
-	 * outlives this. @param events Lines; outlives this. @param self Where this node answers. */
+	/**
+	 * @param scheduler Clock and timers.
+	 * @param feed Configuration that this node has; outlives this object.
+	 * @param peers Transport to other nodes; outlives this object.
+	 * @param events Event log; outlives this object.
+	 * @param self IP:port of this node's frame server.
+	 */
 	ConfigExchange(Scheduler &scheduler, SiteFeed &feed, ConfigPeers &peers, EventLog &events, std::string self)
 			: scheduler(scheduler), feed(feed), peers(peers), events(events), self(std::move(self))
 	{
 	}
 
-	/** Begins to watch the store. */
+	/** Starts the periodic check of the store. */
 	void Start();
-	/** Learns of another node. @param address Where it answers. */
+	/**
+	 * Adds a node to the known peers; this node itself and known addresses are ignored.
+	 * @param address IP:port of the node's frame server.
+	 */
 	void AddPeer(const std::string &address);
-	/** Makes sure that this node has the newest configuration. @param done Gets whether it is known to; perhaps never,
-	 * when that can't be found out. */
+	/**
+	 * Confirms that this node has the newest configuration.
+	 * @param done Called with the result; never called if neither the store nor a peer answers, possibly more than once
+	 * otherwise.
+	 */
 	void Confirm(const std::function<void(bool)> &done);
-	/** Answers another node. @param question Its question. @param done Gets the answer. */
+	/**
+	 * Answers another node's request.
+	 * @param question The request.
+	 * @param done Called with the answer; never called if a confirmation was requested and the store does not answer.
+	 */
 	void Answer(const ConfigQuestion &question, const ConfigPeers::Done &done);
 
-	/** @return Questions asked. */
+	/** @return Number of requests sent to peers. */
 	[[nodiscard]] uint64_t Questions() const { return this->questions; }
-	/** @return Configurations learned from other nodes. */
+	/** @return Number of newer configurations adopted from peers. */
 	[[nodiscard]] uint64_t Learned() const { return this->learned; }
 
 private:
-	Scheduler &scheduler;                                       ///< Clock and timers.
-	SiteFeed &feed;                                             ///< What this node knows.
-	ConfigPeers &peers;                                         ///< Other nodes.
-	EventLog &events;                                           ///< Lines.
-	std::string self;                                           ///< Where this node answers.
-	std::deque<std::string> known;                              ///< Other nodes, the one to be asked next first.
-	uint64_t questions = 0;                                     ///< For Questions().
-	uint64_t learned = 0;                                       ///< For Learned().
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	Scheduler &scheduler;          ///< Clock and timers.
+	SiteFeed &feed;                ///< Configuration that this node has.
+	ConfigPeers &peers;            ///< Transport to other nodes.
+	EventLog &events;              ///< Event log.
+	std::string self;              ///< IP:port of this node's frame server.
+	std::deque<std::string> known; ///< Addresses of known peers, the next one to ask first.
+	uint64_t questions = 0;        ///< Number of requests sent to peers.
+	uint64_t learned = 0;          ///< Number of configurations adopted from peers.
+	std::shared_ptr<bool> alive =
+			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
 
 	[[nodiscard]] bool StoreSilent() const;
 	void Look();
--- a/src/node/config_peers.cpp
+++ b/src/node/config_peers.cpp
@@ -1,9 +1,9 @@
-/** @file config_peers.cpp Questions for the configuration over frames. */
+/** @file config_peers.cpp Configuration requests to other nodes over frame connections. */
 #include "config_peers.h"
 
 namespace {
 
-constexpr Millis ANSWER_WITHIN(1000); ///< Answers that come later are dropped: others were asked meanwhile.
+constexpr Millis ANSWER_WITHIN(1000); ///< Later answers are ignored: other nodes have been asked meanwhile.
 
 } // namespace
 
@@ -41,7 +41,7 @@
 	});
 	for (const auto &[address, count] : silent) {
 		if (count > 0) {
-			this->clients.erase(address); /* The connection may have gone silent for good. */
+			this->clients.erase(address); /* The connection may be dead without having been closed. */
 		}
 	}
 }
--- a/src/node/config_peers.h
+++ b/src/node/config_peers.h
@@ -1,4 +1,4 @@
-/** @file config_peers.h Questions for the configuration over frames. */
+/** @file config_peers.h Configuration requests to other nodes over frame connections. */
 #ifndef CONFIG_PEERS_H
 #define CONFIG_PEERS_H
 
@@ -7,7 +7,7 @@
 
 #include <map>
 
-/** Asks over one connection a node, which is kept. */
+/** Sends configuration requests over one persistent connection per node. */
 class FramePeers : public ConfigPeers {
 public:
 	/** @param scheduler Clock and timers. */
@@ -16,19 +16,19 @@
 	void Ask(const std::string &address, const ConfigQuestion &question, Done done) override;
 
 private:
-	/** A question that is not answered yet. */
+	/** A request without an answer. */
 	struct Open {
-		std::string address;   ///< Who was asked.
-		ConfigQuestion asking; ///< What.
-		Done done;             ///< Gets the answer.
-		Millis until;          ///< An answer that comes later is dropped.
-		bool sent = false;     ///< Whether it has left.
+		std::string address;   ///< IP:port of the node that was asked.
+		ConfigQuestion asking; ///< Content of the request.
+		Done done;             ///< Called with the answer.
+		Millis until;          ///< Time after which an answer is ignored.
+		bool sent = false;     ///< Whether the request was sent.
 	};
 
 	Scheduler &scheduler;                                        ///< Clock and timers.
-	std::map<std::string, std::unique_ptr<FrameClient>> clients; ///< By address.
-	std::map<uint64_t, Open> open;                               ///< By number.
-	uint64_t last_number = 0;                                    ///< Of the last question.
+	std::map<std::string, std::unique_ptr<FrameClient>> clients; ///< Connections by address.
+	std::map<uint64_t, Open> open;                               ///< Requests without an answer, by number.
+	uint64_t last_number = 0;                                    ///< Number of the last request.
 
 	FrameClient &ClientOf(const std::string &address);
 	void DropOld();
--- a/src/node/inbox_writer.cpp
+++ b/src/node/inbox_writer.cpp
@@ -1,4 +1,4 @@
-/** @file inbox_writer.cpp Batches of appends to an inbox. */
+/** @file inbox_writer.cpp Batched appends to an inbox partition. */
 #include "inbox_writer.h"
 
 #include <algorithm>
@@ -7,16 +7,19 @@
 
 namespace {
 
-constexpr size_t BATCH_MOST = 100;    ///< Records of one append: about 200 KB, far below what a call may carry.
-constexpr double TOOK_WEIGHT = 0.3;   ///< Of the newest append in the smoothed time.
-constexpr double PATIENCE_FACTOR = 4; ///< An append that takes so many times the usual counts as lost.
-constexpr Millis PATIENCE_LEAST(700); ///< The same at least: a store that turns slow does so within one append.
-constexpr Millis PATIENCE_MOST(2600); ///< The same at most; with over 2 s of appends waiting the log refuses.
+constexpr size_t BATCH_MOST = 100;    ///< Records per append: about 200 KB, far below the size limit of a call.
+constexpr double TOOK_WEIGHT = 0.3;   ///< Weight of the newest append in the smoothed duration.
+constexpr double PATIENCE_FACTOR = 4; ///< Multiple of the smoothed duration after which an append counts as lost.
+constexpr Millis
+		PATIENCE_LEAST(700); ///< Minimum of that timeout: the store can become slow from one append to the next.
+constexpr Millis
+		PATIENCE_MOST(2600); ///< Maximum of that timeout: the log refuses appends if more than 2 s of them are queued.
 
-/** After so many appends in a row without an answer the inbox counts as silent. The first may only have met a store
- * that turned slow: the next one waits longer. */
+/** Consecutive appends without an answer after which the inbox counts as unreachable. A single one may have timed out
+ * because the store became slow; the next append has a longer timeout. */
 constexpr uint32_t SILENT_LOST = 2;
-/** While the inbox is silent, records that were never sent are refused at once; one of them tries again after this. */
+/** While the inbox is unreachable, records that were never sent are refused at once. After this time the next record is
+ * sent as a retry. */
 constexpr Millis SILENT_FOR(1200);
 
 } // namespace
@@ -44,7 +47,8 @@
 		this->Send();
 		return;
 	}
-	/* Unsent for as long as an append may take: its caller may try elsewhere, and is told so truly. */
+	/* A record that is still unsent after one append timeout is refused. It is certain that it wasn't stored, so the
+	 * caller can retry on another node. */
 	this->scheduler.After(this->Patience(), [this, number, still = std::weak_ptr<bool>(this->alive)] {
 		if (!still.expired()) {
 			this->HandBack(number);
@@ -56,7 +60,7 @@
 {
 	const auto it = std::ranges::find(this->waiting, number, &Waiting::number);
 	if (it == this->waiting.end()) {
-		return; /* Sent meanwhile. */
+		return; /* Already sent. */
 	}
 	const Done done = std::move(it->done);
 	this->waiting.erase(it);
@@ -73,7 +77,7 @@
 	this->lost = lost ? this->lost + 1 : 0;
 	this->lost_at = lost ? this->scheduler.Now() : this->lost_at;
 	this->busy = false;
-	/* After a loss, what was lost is repeated first, by those who wait for it. */
+	/* After a lost append, its records are sent first: their callers append them again. */
 	if (!lost && !this->waiting.empty()) {
 		this->Send();
 	}
@@ -82,8 +86,8 @@
 void InboxWriter::Send()
 {
 	const Millis now = this->scheduler.Now();
-	/* While it is not known whether the inbox answers, what may lie there already goes alone: the others can still be
-	 * refused truly. */
+	/* While the inbox may be unreachable, only records that may be stored already are sent. The others can still be
+	 * refused with certainty. */
 	const bool alone = this->lost > 0 && std::ranges::any_of(this->waiting, &Waiting::uncertain);
 	std::vector<KeyedRecord> records;
 	std::vector<Done> told;
--- a/src/node/inbox_writer.h
+++ b/src/node/inbox_writer.h
@@ -1,4 +1,5 @@
-/** @file inbox_writer.h Appends of callers' records to the inbox of one shard, for when its owner can't be asked. */
+/** @file inbox_writer.h Appends callers' records to the inbox partition of one shard while its owner can't be reached.
+ */
 #ifndef INBOX_WRITER_H
 #define INBOX_WRITER_H
 
@@ -8,45 +9,55 @@
 #include <deque>
 #include <memory>
 
-/**
- * Appends in batches: one append is under way at a time, what comes meanwhile goes with the next. A partition takes its
- * appends in turn, so a store that is 50 times slower takes about ten a second of them all.
- */
+/** Appends records in batches. One append is in flight at a time; records that arrive meanwhile go into the next batch.
+ * A partition executes its appends one after another, so a store that is 50 times slower than usual completes about ten
+ * appends per second in total. */
 class InboxWriter {
 public:
-	/** Gets the outcome of one try: RC_OK, RC_LOG_ANSWER_LOST (it may be done), or a refusal (it is not). */
+	/** Called with the outcome of one attempt: RC_OK, RC_LOG_ANSWER_LOST (the record may be stored), or another error
+	 * (the record is not stored). */
 	using Done = std::function<void(ResultCode)>;
 
-	/** @param scheduler Clock. @param log The log; outlives this. @param partition The inbox. */
+	/**
+	 * @param scheduler Clock and timers.
+	 * @param log The log; outlives this object.
+	 * @param partition The inbox partition.
+	 */
 	InboxWriter(Scheduler &scheduler, KeyedLog &log, PartitionId partition)
 			: scheduler(scheduler), log(log), partition(std::move(partition))
 	{
 	}
 
-	/** Appends a record. @param record It. @param deadline It is not sent after this. @param uncertain Whether it may
-	 * lie in the log already. @param done Gets the outcome. */
+	/**
+	 * Appends a record.
+	 * @param record The record.
+	 * @param deadline Time after which the record is no longer sent.
+	 * @param uncertain Whether an earlier attempt may have stored the record.
+	 * @param done Called with the outcome.
+	 */
 	void Append(const KeyedRecord &record, Millis deadline, bool uncertain, Done done);
 
 private:
-	/** A record that waits. */
+	/** A record in the queue. */
 	struct Waiting {
-		uint64_t number;    ///< Counts the records.
-		KeyedRecord record; ///< It.
-		Millis deadline;    ///< Not sent after this.
-		bool uncertain;     ///< Whether it may lie in the log already.
-		Done done;          ///< Gets the outcome.
+		uint64_t number;    ///< Sequence number of the record in this writer.
+		KeyedRecord record; ///< The record.
+		Millis deadline;    ///< Time after which the record is no longer sent.
+		bool uncertain;     ///< Whether an earlier attempt may have stored the record.
+		Done done;          ///< Called with the outcome.
 	};
 
-	Scheduler &scheduler;                                       ///< Clock.
-	KeyedLog &log;                                              ///< The log.
-	PartitionId partition;                                      ///< The inbox.
-	std::deque<Waiting> waiting;                                ///< Records for the next append.
-	uint64_t last_number = 0;                                   ///< Of the last record.
-	Millis lost_at{-1000000};                                   ///< When an append was last given up without an answer.
-	uint32_t lost = 0;                                          ///< Appends in a row that were.
-	bool busy = false;                                          ///< Whether an append is under way.
-	double took_ms = 0;                                         ///< Time that answered appends took, smoothed.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	Scheduler &scheduler;        ///< Clock and timers.
+	KeyedLog &log;               ///< The log.
+	PartitionId partition;       ///< The inbox partition.
+	std::deque<Waiting> waiting; ///< Records for the next append, oldest first.
+	uint64_t last_number = 0;    ///< Number of the last record.
+	Millis lost_at{-1000000};    ///< Time of the last append without an answer.
+	uint32_t lost = 0;           ///< Consecutive appends without an answer.
+	bool busy = false;           ///< Whether an append is in flight.
+	double took_ms = 0;          ///< Smoothed duration of appends, in ms.
+	std::shared_ptr<bool> alive =
+			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
 
 	[[nodiscard]] Millis Patience() const;
 	[[nodiscard]] bool Silent() const;
--- a/src/node/job_api.cpp
+++ b/src/node/job_api.cpp
@@ -1,19 +1,19 @@
-/** @file job_api.cpp What callers may ask of jobs, on any node. */
+/** @file job_api.cpp Operations on jobs for callers, available on any node. */
 #include "job_api.h"
 
 #include <algorithm>
 
 namespace {
 
-/** An owner that has not said by then that it is recording can't be asked: the inbox takes the record. Three times what
- * a node that runs five times slower takes. */
+/** Time for an owner to report that it is recording; after that, the record goes to the inbox. This is three times what
+ * a node takes that runs five times slower than usual. */
 constexpr Millis OWNER_WAIT(300);
-/** An owner that records has until so long before the caller's deadline; then the inbox is tried. */
+/** Time before the caller's deadline at which a recording owner is given up and the inbox is used instead. */
 constexpr Millis INBOX_RESERVE(900);
-constexpr Millis REFUSED_AGAIN(40);  ///< Pause before another try after the log refused.
-constexpr Millis REFUSE_WITHIN(120); ///< What the log refuses for so long is refused to the caller: another node, or a
-									 ///< later try, serves it sooner (a quarter of the shortest objective is 150 ms).
-constexpr Millis ANSWER_MARGIN(60);  ///< Time that an answer takes to the caller.
+constexpr Millis REFUSED_AGAIN(40);  ///< Delay before the retry of an append that the log refused.
+constexpr Millis REFUSE_WITHIN(120); ///< Time of refusals by the log after which the caller is refused: another node or
+									 ///< a later retry serves it sooner. A quarter of the shortest objective is 150 ms.
+constexpr Millis ANSWER_MARGIN(60);  ///< Time that an answer takes to reach the caller.
 
 } // namespace
 
@@ -97,7 +97,7 @@
 		this->Finish(it, code);
 		return;
 	}
-	/* Anything but silence means that the owner won't record it. */
+	/* Any answer other than an unknown outcome means that the owner doesn't record it. */
 	it->uncertain = code == ResultCode::RC_OUTCOME_UNKNOWN;
 	this->TryInbox(it);
 }
@@ -112,8 +112,8 @@
 		inbox = std::make_unique<InboxWriter>(this->scheduler, this->log,
 											  PartitionId{TopicOf(it->service), INBOX_PARTITION});
 	}
-	/* A repeated record changes nothing: the first one of a key counts. So no sequence numbers are needed. */
-	const bool before = std::exchange(it->uncertain, true); /* As long as the append may be under way. */
+	/* Appends need no sequence numbers: only the first record of a key counts. */
+	const bool before = std::exchange(it->uncertain, true); /* Holds while the append is in flight. */
 	inbox->Append(it->record, it->deadline - ANSWER_MARGIN, before,
 				  [this, it, before, still = std::weak_ptr<bool>(this->alive)](ResultCode code) {
 					  if (!still.expired()) {
@@ -145,7 +145,7 @@
 {
 	const Done done = std::exchange(it->done, nullptr);
 	if (!done) {
-		return; /* Told before. */
+		return; /* The result was reported already. */
 	}
 	this->open--;
 	this->events.Write("recorded", {{"key", it->record.key},
@@ -165,7 +165,7 @@
 	}
 	if (question.job.Empty()) {
 		if (!owner->Fresh()) {
-			/* Jobs that other nodes have accepted meanwhile would be missing. */
+			/* The count would lack jobs that other nodes have accepted meanwhile. */
 			return JobAnswer{};
 		}
 		return JobAnswer{ResultCode::RC_OK, JobPhase::JP_QUEUED, shard->Waiting(question.route)};
--- a/src/node/job_api.h
+++ b/src/node/job_api.h
@@ -1,4 +1,4 @@
-/** @file job_api.h What callers may ask of jobs, on any node: hand in, look up, cancel, count. */
+/** @file job_api.h Operations on jobs for callers, available on any node: submit, query, cancel and count. */
 #ifndef JOB_API_H
 #define JOB_API_H
 
@@ -6,65 +6,86 @@
 #include "owner_lookup.h"
 #include "shard_host.h"
 
-/** Answers callers. Submissions and cancellations are durable in the log before they are confirmed. */
+/** Executes callers' operations on jobs. Submissions and cancellations are durable in the log before they are
+ * confirmed. */
 class JobApi {
 public:
 	using Done = std::function<void(ResultCode)>;
 
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param log The log; outlives this.
-	 * @param host Shards of this node; outlives this.
-	 * @param lookup Owners elsewhere; outlives this.
-	 * @param events Lines; outlives this.
+	 * @param log The log; outlives this object.
+	 * @param host Shards owned by this node; outlives this object.
+	 * @param lookup Requests to owners on other nodes; outlives this object.
+	 * @param events Event log; outlives this object.
 	 */
 	JobApi(Scheduler &scheduler, KeyedLog &log, ShardHost &host, OwnerLookup &lookup, EventLog &events);
 
-	/** Takes a configuration. @param config It; one with an older version is ignored. */
+	/**
+	 * Applies a configuration.
+	 * @param config The configuration; ignored unless its version is newer than the one in force.
+	 */
 	void Configure(const JobConfig &config);
 	/** @return The configuration in force; version 0 before the first. */
 	[[nodiscard]] const JobConfig &Config() const { return this->config; }
 
 	/**
-	 * Hands a job in.
-	 * @param spec The job, checked.
-	 * @param service Service that runs it.
-	 * @param deadline When the caller stops waiting.
-	 * @param done Gets RC_OK once it is durable; RC_LOG_THROTTLED or RC_LOG_UNAVAILABLE when it certainly isn't and
-	 * never will be; RC_OUTCOME_UNKNOWN when it may be; RC_OTHER_ACCOUNT when the id is another account's.
+	 * Submits a job.
+	 * @param spec The job, already validated.
+	 * @param service Service that runs the job.
+	 * @param deadline Time at which the caller stops waiting.
+	 * @param done Called with RC_OK once the job is durable; RC_LOG_THROTTLED or RC_LOG_UNAVAILABLE if it is certain
+	 * that the job was not and will not be recorded; RC_OUTCOME_UNKNOWN if it may have been; RC_OTHER_ACCOUNT if the id
+	 * belongs to another account's job; RC_ACCOUNT_BUSY if the owner reports it.
 	 */
 	void Submit(const JobSpec &spec, const ServiceName &service, Millis deadline, Done done);
-	/** Cancels a job, with the same results as Submit(). @param id The job. @param account Account of the caller.
-	 * @param service Its service. @param deadline When the caller stops waiting. @param done Gets the result. */
+	/**
+	 * Cancels a job.
+	 * @param id The job.
+	 * @param account Account of the caller.
+	 * @param service Service that runs the job.
+	 * @param deadline Time at which the caller stops waiting.
+	 * @param done Called with the same results as for Submit().
+	 */
 	void Cancel(const JobId &id, const AccountName &account, const ServiceName &service, Millis deadline, Done done);
-	/** Looks up. @param question The question. @param deadline When the caller stops waiting. @param done Gets the
-	 * answer. */
+	/**
+	 * Answers a query, if necessary by forwarding it to the owner of the shard.
+	 * @param question The query.
+	 * @param deadline Time at which the caller stops waiting.
+	 * @param done Called with the answer.
+	 */
 	void Ask(const JobQuestion &question, Millis deadline, std::function<void(const JobAnswer &)> done);
-	/** @return The answer of this node alone. @param question The question. */
+	/**
+	 * Answers a query from the shards that this node owns.
+	 * @param question The query.
+	 * @return The answer; RC_PEER_UNAVAILABLE if this node doesn't own the shard or can't tell yet.
+	 */
 	[[nodiscard]] JobAnswer AnswerLocally(const JobQuestion &question) const;
-	/** @return Appends under way: a stop waits for them. */
+	/** @return Number of submissions and cancellations in progress. */
 	[[nodiscard]] size_t Open() const { return this->open; }
 
 private:
-	/** A record until its outcome is known or nobody waits any more. */
+	/** A submission or cancellation in progress, until its outcome is known or its deadline passes. */
 	struct Pending {
-		ServiceName service;    ///< Service whose shard it is for.
-		KeyedRecord record;     ///< What, as it lies in the inbox.
-		Millis begun;           ///< When the caller asked.
-		Millis deadline;        ///< When the caller stops waiting.
-		bool uncertain = false; ///< Whether one of the tries may have had an effect.
-		Done done;              ///< Gets the result; null once told.
+		ServiceName service;    ///< Service whose shard records it.
+		KeyedRecord record;     ///< The record, in the format of the inbox.
+		Millis begun;           ///< Time of the caller's request.
+		Millis deadline;        ///< Time at which the caller stops waiting.
+		bool uncertain = false; ///< Whether one of the attempts may have recorded it.
+		Done done;              ///< Called with the result; null after that.
 	};
 
-	Scheduler &scheduler;                                        ///< Clock and timers.
-	KeyedLog &log;                                               ///< The log.
-	ShardHost &host;                                             ///< Shards of this node.
-	OwnerLookup &lookup;                                         ///< Owners elsewhere.
-	EventLog &events;                                            ///< Lines.
-	JobConfig config;                                            ///< The configuration in force.
-	std::map<ServiceName, std::unique_ptr<InboxWriter>> inboxes; ///< Ways around owners that can't be asked.
-	size_t open = 0;                                             ///< Appends under way.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true);  ///< Expires with this.
+	Scheduler &scheduler; ///< Clock and timers.
+	KeyedLog &log;        ///< The log.
+	ShardHost &host;      ///< Shards owned by this node.
+	OwnerLookup &lookup;  ///< Requests to owners on other nodes.
+	EventLog &events;     ///< Event log.
+	JobConfig config;     ///< The configuration in force.
+	std::map<ServiceName, std::unique_ptr<InboxWriter>>
+			inboxes; ///< Writers to the inboxes of shards, for when an owner can't be reached.
+	size_t open = 0; ///< Submissions and cancellations in progress.
+	std::shared_ptr<bool> alive =
+			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
 
 	void Record(const std::shared_ptr<Pending> &it);
 	void AskOwner(const std::shared_ptr<Pending> &it);
--- a/src/node/metrics_page.cpp
+++ b/src/node/metrics_page.cpp
@@ -1,4 +1,4 @@
-/** @file metrics_page.cpp Counters of a node as text, and its state dump. */
+/** @file metrics_page.cpp Metrics of a node in text form, and its state dump. */
 #include "metrics_page.h"
 
 #include <QJsonArray>
@@ -9,9 +9,9 @@
 
 namespace {
 
-/** A counter of shards, by name. */
+/** Name of a shard counter. */
 struct CounterRow {
-	const char *name;                ///< Name on the page and in the dump.
+	const char *name;                ///< Name in the metrics and in the dump.
 	uint64_t ShardCounters::*member; ///< The counter.
 };
 
@@ -34,7 +34,7 @@
 		CounterRow{"tasks_walked", &ShardCounters::tasks_walked},
 };
 
-constexpr size_t ACCOUNTS_SHOWN = 20; ///< Accounts of a service that are shown: those with most placed.
+constexpr size_t ACCOUNTS_SHOWN = 20; ///< Accounts shown per service: those with the largest use.
 
 QJsonArray DumpAccounts(const AccountBook &book)
 {
--- a/src/node/metrics_page.h
+++ b/src/node/metrics_page.h
@@ -1,4 +1,4 @@
-/** @file metrics_page.h Counters of a node as text, and its state dump. */
+/** @file metrics_page.h Metrics of a node in text form, and its state dump. */
 #ifndef METRICS_PAGE_H
 #define METRICS_PAGE_H
 
@@ -7,13 +7,17 @@
 
 #include <QJsonObject>
 
-/** @return The node's state, for the dump. @param core The node. */
+/**
+ * Dumps the state of a node.
+ * @param core The node.
+ * @return The state as JSON.
+ */
 QJsonObject DumpNode(const NodeCore &core);
 
-/** Serves GET of counters: a line each, name, labels, value. */
+/** Serves the metrics as text: one metric per line, with name, labels and value. */
 class MetricsPage : public RequestHandler {
 public:
-	/** @param core The node; outlives this. */
+	/** @param core The node; outlives this object. */
 	explicit MetricsPage(const NodeCore &core) : core(core) {}
 	std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest request) override;
 
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -1,4 +1,4 @@
-/** @file node_core.cpp A node without its transport to callers. */
+/** @file node_core.cpp A node without its HTTP transport to callers. */
 #include "node_core.h"
 
 #include <algorithm>
@@ -6,11 +6,13 @@
 
 namespace {
 
-constexpr Millis STORE_SEEN_WITHIN(2600); ///< A node that has not reached the store for so long asks for no new
-										  ///< callers: two polls of a second each may fail.
-constexpr Millis LOOK_EVERY(5000);        ///< Who holds the fleet is looked at so often, when it is not dealt here.
-constexpr Millis PEERS_EVERY(5000);       ///< Who holds partitions, and may be asked for the configuration, the same.
-constexpr Millis POOL_WAIT(600);          ///< Time that the owner of a pool has to answer the fleet's owner.
+constexpr Millis STORE_SEEN_WITHIN(2600); ///< Time without contact to the store after which a node accepts no new
+										  ///< callers. Two polls of a second each may fail.
+constexpr Millis LOOK_EVERY(5000); ///< Interval at which the owner of the fleet is checked while the group does not
+								   ///< assign the fleet to this node.
+constexpr Millis PEERS_EVERY(
+		5000); ///< Interval at which the members of the group are read; they can be asked for the configuration.
+constexpr Millis POOL_WAIT(600); ///< Timeout of the fleet owner's request to the owner of a pool.
 
 template <class Id>
 std::set<Id> SetOf(const std::vector<std::string> &names)
@@ -51,7 +53,11 @@
 	return out;
 }
 
-/** @return The loan; of epoch 0, which nobody takes, when there is none. @param in Its frame, or null. */
+/**
+ * Decodes a loan.
+ * @param in The loan on the wire, or null.
+ * @return The loan; if there is none, one of epoch 0, which no owner accepts.
+ */
 ShareLoan LoanOf(const glade::wire::LoanT *in)
 {
 	ShareLoan out;
@@ -83,7 +89,11 @@
 	return out;
 }
 
-/** @return The report; of epoch 0, which lowers nothing, when there is none. @param in Its frame, or null. */
+/**
+ * Decodes a report on a loan.
+ * @param in The report on the wire, or null.
+ * @return The report; if there is none, one of epoch 0, which has no effect.
+ */
 ShareReport ReportOf(const glade::wire::LoanReportT *in)
 {
 	ShareReport out;
@@ -163,13 +173,13 @@
 
 bool NodeCore::FleetDealt() const
 {
-	/* The last partition stands for the fleet: services take the first of each even share. */
+	/* The last partition represents the fleet. Each service uses the first partition of its even share. */
 	return this->member.Holds(this->self.partitions - 1);
 }
 
 bool NodeCore::FleetWatched() const
 {
-	/* The one before: the one behind the last stands for a service. */
+	/* The watcher holds the partition before the last one, because the partition after it represents a service. */
 	return this->member.Holds((2 * this->self.partitions - 2) % this->self.partitions);
 }
 
@@ -200,7 +210,8 @@
 	const bool dealt = this->FleetDealt();
 	const bool wanted = dealt || this->FleetWatched();
 	if (!this->fleet) {
-		/* Now and then also when it is not dealt here: an earlier process of this node may have held it. */
+		/* The owner is also checked periodically while the fleet is not assigned to this node: the recorded owner may
+		 * be an earlier process of this node. */
 		const Millis now = this->scheduler.Now();
 		const bool look = this->member.HeldRecently() && now - this->fleet_looked_at >= LOOK_EVERY;
 		if (wanted || look) {
@@ -222,7 +233,7 @@
 	FleetOwner *owner = this->fleet.get();
 	this->releasing.push_back(std::move(this->fleet));
 	owner->Release([this, owner] {
-		/* Not from inside its own call. */
+		/* Deferred, since the owner must not be destroyed during its own callback. */
 		this->scheduler.After(Millis(0), [this, owner] {
 			std::erase_if(this->releasing, [owner](const auto &it) { return it.get() == owner; });
 		});
@@ -236,7 +247,8 @@
 							  this->links.events, this->self.name, this->self.frames, this->self.turn_gap, NODE_GROUP,
 							  [this] { return this->FleetDealt(); }, [this] { return this->FleetWatched(); }});
 	this->fleet->on_lost = [this] {
-		/* Not from inside its own call. The record tells whether another holder came. */
+		/* Deferred, since the owner must not be destroyed during its own callback. The new owner reads from the record
+		 * whether another node has claimed the fleet. */
 		this->scheduler.After(Millis(0), [this] {
 			this->fleet.reset();
 			this->fleet_looked_at = Millis(-LOOK_EVERY.Value());
@@ -367,7 +379,7 @@
 		answer(link, ResultCode::RC_PEER_UNAVAILABLE);
 		return;
 	}
-	/* The asking node waits on as long as it knows that this one lives. */
+	/* The requesting node keeps waiting as long as it knows that this node is alive. */
 	answer(link, ResultCode::RC_LOG_RECORDING);
 	this->recording.insert(&link);
 	const std::string value(reinterpret_cast<const char *>(in.value.data()), in.value.size());
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -1,4 +1,5 @@
-/** @file node_core.h A node: its part in the group, the shards that it owns, and its answers to callers and nodes. */
+/** @file node_core.h A node: its group membership, the shards that it owns, and its answers to callers and other nodes.
+ */
 #ifndef NODE_CORE_H
 #define NODE_CORE_H
 
@@ -8,46 +9,53 @@
 
 #include <list>
 
-/** Who this node is. */
+/** Identity and parameters of this node. */
 struct NodeIdentity {
-	std::string name;        ///< Name of this process.
-	std::string frames;      ///< IP:port where other nodes ask; also in its name in the group.
-	int64_t cpu = 0;         ///< Thousandths of a core that it may use.
-	uint32_t partitions = 1; ///< Partitions of a topic.
-	Millis silence;          ///< A node not heard of for so long loses its shards.
-	ShardLimits limits;      ///< Figures of shards.
-	Millis turn_gap;         ///< Time between the orders to machines of two nodes.
-	/** Frames' addresses of some other nodes, which may be gone. */
+	std::string name;   ///< Name of this process, unique among the nodes.
+	std::string frames; ///< IP:port of the frame server for other nodes; also part of the member name in the group.
+	int64_t cpu = 0;    ///< CPU limit of this node, in thousandths of a core.
+	uint32_t partitions = 1; ///< Number of partitions of a topic.
+	Millis silence;          ///< Time without contact after which a node loses its shards.
+	ShardLimits limits;      ///< Limits of shards.
+	Millis turn_gap;         ///< Minimum time between the orders to machines of two successive fleet owners.
+	/** IP:port of the frame servers of some other nodes; some of them may no longer exist. */
 	std::vector<std::string> seeds;
 };
 
-/** What a node speaks to. All outlive it. */
+/** External interfaces of a node. All of them outlive the node. */
 struct NodeLinks {
 	KeyedLog &log;                       ///< The store.
-	BoxOrders &orders;                   ///< Boxes.
-	SiteFeed &feed;                      ///< What is published.
-	MachineControl &machines;            ///< Machines.
-	WaveReporter &reports;               ///< For operators.
-	EventLog &events;                    ///< Lines.
-	PlacementAdvisor *advisor = nullptr; ///< Policies of routes; null when there are none.
+	BoxOrders &orders;                   ///< Orders to boxes.
+	SiteFeed &feed;                      ///< Configuration, maintenance waves and box reports.
+	MachineControl &machines;            ///< Control of machines.
+	WaveReporter &reports;               ///< Progress of waves, for operators.
+	EventLog &events;                    ///< Event log.
+	PlacementAdvisor *advisor = nullptr; ///< Placement policies of routes; null if there are none.
 };
 
-/** The node without its transport to callers. */
+/** A node without its HTTP transport to callers. */
 class NodeCore : public SiteFeedEvents, public PoolOwnerClient {
 public:
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param links What it speaks to.
-	 * @param self Who this node is.
+	 * @param links External interfaces.
+	 * @param self Identity and parameters of this node.
 	 */
 	NodeCore(Scheduler &scheduler, const NodeLinks &links, const NodeIdentity &self);
 
-	/** Begins. @return Whether the frames' address could be listened on. */
+	/**
+	 * Starts the node.
+	 * @return Whether the frame server could listen on its address.
+	 */
 	bool Start();
-	/** Leaves the group and lets go of all shards. @param done Told when the store was told, or could not be. */
+	/**
+	 * Leaves the group and releases all shards.
+	 * @param done Called when the store has answered the leave request, or has failed to.
+	 */
 	void Leave(std::function<void()> done);
 
-	/** @return Whether callers should come here: configured, and the store was reached a moment ago. */
+	/** @return Whether this node should receive new callers: it has a configuration, recent contact with the store, and
+	 * is not leaving. */
 	[[nodiscard]] bool Ready() const;
 
 	void OnConfig(const JobConfig &config) override;
@@ -57,35 +65,38 @@
 	void Ask(const ServiceName &service, const PoolRequest &request,
 			 std::function<void(std::optional<PoolStatus>)> done) override;
 
-	/** Makes sure that this node has the newest configuration. @param done Gets whether it is known to; perhaps never.
+	/**
+	 * Confirms that this node has the newest configuration.
+	 * @param done Called with the result; never called if neither the store nor a peer answers.
 	 */
 	void ConfirmConfig(const std::function<void(bool)> &done) { this->configs.Confirm(done); }
 
-	/** @return The exchange of configurations with other nodes. */
+	/** @return Exchange of configurations with other nodes. */
 	[[nodiscard]] const ConfigExchange &Configs() const { return this->configs; }
-	JobApi &Desk() { return this->desk; }                              ///< Answers to callers.
-	[[nodiscard]] const ShardHost &Host() const { return this->host; } ///< Shards owned.
-	[[nodiscard]] const JobApi &Desk() const { return this->desk; }    ///< Answers to callers.
+	JobApi &Desk() { return this->desk; }                              ///< Operations on jobs for callers.
+	[[nodiscard]] const ShardHost &Host() const { return this->host; } ///< Shards owned by this node.
+	[[nodiscard]] const JobApi &Desk() const { return this->desk; }    ///< Operations on jobs for callers.
 
 private:
 	Scheduler &scheduler;                             ///< Clock and timers.
-	NodeLinks links;                                  ///< What it speaks to.
-	NodeIdentity self;                                ///< Who this node is.
-	GroupMember member;                               ///< Its part in the group.
-	ShardHost host;                                   ///< Shards owned.
-	OwnerLookup lookup;                               ///< Owners elsewhere.
-	JobApi desk;                                      ///< Answers.
-	FramePeers peers;                                 ///< Other nodes, for the configuration.
-	ConfigExchange configs;                           ///< What they tell of it.
-	Millis peers_read_at{-1000000};                   ///< When the group's members were last read.
-	FrameServer frames;                               ///< Other nodes ask here.
-	std::set<FrameLink *> recording;                  ///< Connections that wait for an answer.
+	NodeLinks links;                                  ///< External interfaces.
+	NodeIdentity self;                                ///< Identity and parameters of this node.
+	GroupMember member;                               ///< Membership in the group of nodes.
+	ShardHost host;                                   ///< Shards owned by this node.
+	OwnerLookup lookup;                               ///< Requests to owners on other nodes.
+	JobApi desk;                                      ///< Operations on jobs for callers.
+	FramePeers peers;                                 ///< Transport for configuration requests to other nodes.
+	ConfigExchange configs;                           ///< Exchange of configurations with other nodes.
+	Millis peers_read_at{-1000000};                   ///< Time at which the members of the group were last read.
+	FrameServer frames;                               ///< Server for requests of other nodes.
+	std::set<FrameLink *> recording;                  ///< Open connections on which an answer may still be sent.
 	bool leaving = false;                             ///< Whether Leave() was called.
-	std::map<uint64_t, WaveOrder> waves;              ///< Waves heard of.
-	std::unique_ptr<FleetOwner> fleet;                ///< While this node gives orders to machines, or waits to.
-	Millis fleet_looked_at{-1000000};                 ///< When the fleet's holder was last looked at.
-	std::list<std::unique_ptr<FleetOwner>> releasing; ///< Those whose letting go is being recorded.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	std::map<uint64_t, WaveOrder> waves;              ///< Maintenance waves, by number.
+	std::unique_ptr<FleetOwner> fleet;                ///< Set while this node owns the fleet or waits to claim it.
+	Millis fleet_looked_at{-1000000};                 ///< Time at which the owner of the fleet was last checked.
+	std::list<std::unique_ptr<FleetOwner>> releasing; ///< Former fleet owners whose release is being recorded.
+	std::shared_ptr<bool> alive =
+			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
 
 	[[nodiscard]] bool FleetDealt() const;
 	[[nodiscard]] bool FleetWatched() const;
--- a/src/node/owner_lookup.cpp
+++ b/src/node/owner_lookup.cpp
@@ -1,4 +1,4 @@
-/** @file owner_lookup.cpp Questions to the node that owns a shard. */
+/** @file owner_lookup.cpp Requests to the node that owns a shard, over frame connections. */
 #include "owner_lookup.h"
 
 #include "../store/owner_record.h"
@@ -10,19 +10,22 @@
 
 namespace {
 
-/** A node that has not answered by then is asked again, over a new connection if nothing was heard of it; two hops take
- * a few ms. */
+/** Minimum answer timeout, after which the request is repeated, over a new connection if the node sent nothing at all.
+ * Two hops take a few ms. */
 constexpr Millis ANSWER_WAIT(250);
-constexpr Millis ANSWER_WAIT_MOST(1000); ///< The same for a node that answers late.
-constexpr int64_t PATIENCE_A_ANSWER = 2; ///< A node's answers are waited for so many times what the last one took.
-/** A node that is recording and was not heard of for so long is asked whether it is still there; without an answer
- * within ANSWER_WAIT its connection is replaced. An append around a silent partition is done within 0.4 s. */
+constexpr Millis ANSWER_WAIT_MOST(1000); ///< Maximum answer timeout, for a node that answers slowly.
+constexpr int64_t PATIENCE_A_ANSWER = 2; ///< Answer timeout as a multiple of the duration of the node's last answer.
+/** A recording node that has sent nothing for this time is probed; its connection is replaced if it doesn't answer
+ * within ANSWER_TIMEOUT_MIN. An append that avoids an unreachable partition completes within 0.4 s. */
 constexpr Millis RECORDING_WAIT(600);
-constexpr Millis ASK_AGAIN(60);     ///< Pause before another try after "not here".
-constexpr Millis OWNER_VALID(3000); ///< An owner known for longer is asked for again beside a question.
-constexpr Millis REFRESH_GAP(100);  ///< Least time between two questions for an owner.
+constexpr Millis ASK_AGAIN(60);     ///< Delay before a retry when the owner is unknown or doesn't own the shard.
+constexpr Millis OWNER_VALID(3000); ///< Age from which a known owner is read again from the log while requests go on.
+constexpr Millis REFRESH_GAP(100);  ///< Minimum interval between two reads of the same owner's record.
 
-/** @return Whether an answer with this code is what its owner has to say, rather than that another may know. */
+/**
+ * @param code Result code of an answer.
+ * @return Whether this is an answer of the shard's owner; otherwise, another node may own the shard.
+ */
 bool Decides(ResultCode code)
 {
 	constexpr std::array CODES = {
@@ -95,7 +98,7 @@
 			this->CheckNode(number, late->second);
 			return;
 		}
-		/* A node that records for long is alive: its connection carries other questions, too. */
+		/* A recording node is kept even if it takes long: its connection carries other requests too. */
 		if (!late->second.recording && !late->second.asked.empty()) {
 			this->GiveUpNode(late->second, late->second.sent_at);
 		}
@@ -122,8 +125,8 @@
 
 void OwnerLookup::Probe(const std::string &address)
 {
-	/* The record itself is not sent again while its node may be recording it: only one answer then tells what became of
-	 * it. Whatever the node answers to this shows that the connection works. */
+	/* The record itself is not sent again while the node may be recording it, so that a single answer tells the
+	 * outcome. Any answer to the probe shows that the connection works. */
 	glade::wire::JobQuestionT out;
 	out.number = ++this->last_number;
 	this->PeerOf(address).client->Send(MakeMessage(std::move(out)));
@@ -131,8 +134,8 @@
 
 void OwnerLookup::GiveUpNode(Open &question, Millis since)
 {
-	/* The node is gone, another owns the shard by now, or the connection has fallen silent. One that was made later,
-	 * or over which something came, is kept: other questions wait for their answers there. */
+	/* Either the node is gone, another node owns the shard by now, or the connection is dead. A connection that is
+	 * newer than the wait, or that delivered something since, is kept: other requests wait for answers on it. */
 	Peer &peer = this->PeerOf(question.asked);
 	if (peer.made_at <= since && peer.heard_at < since) {
 		peer.patience = std::min(peer.patience + peer.patience, ANSWER_WAIT_MOST);
@@ -168,14 +171,14 @@
 void OwnerLookup::OnOwner(const PartitionId &shard, const PartitionId &from, const NewestPage &page)
 {
 	if (page.code != ResultCode::RC_OK && from == shard) {
-		/* Each claim names the owner in the spare partition as well. */
+		/* Each claim also records the owner in the spare partition. */
 		this->ReadOwner(shard, SparePartitionOf(shard));
 		return;
 	}
 	KnownOwner &owner = this->owners[shard];
 	owner.asking = false;
 	if (page.code != ResultCode::RC_OK) {
-		/* The owner known before is still the best guess. */
+		/* The last known owner remains the best guess. */
 		this->events.Write("owner_unknown", {{"shard", shard.topic}, {"code", SymbolOf(page.code)}});
 		return;
 	}
@@ -224,7 +227,7 @@
 
 Millis OwnerLookup::PatienceWith(const std::string &address)
 {
-	/* One that can't be reached isn't late, and another may own the shard soon. */
+	/* An unreachable node gets no longer timeout: it is not slow, and another node may own the shard soon. */
 	const Peer &peer = this->PeerOf(address);
 	return peer.client->Up() ? peer.patience : ANSWER_WAIT;
 }
@@ -246,7 +249,7 @@
 	it.sent_at = this->scheduler.Now();
 	if (client.Up()) {
 		client.Send(it.make(number));
-		/* The one before may still be carried out, whatever is answered to this one. */
+		/* The previous request may still be executed, whatever the answer to this one is. */
 		it.lost = it.lost || it.sent;
 		it.sent = true;
 	}
@@ -269,13 +272,14 @@
 	}
 	const auto it = this->open.find(number);
 	if (it == this->open.end()) {
-		return; /* Answered before, by a repeated question. */
+		return; /* An earlier answer to a repeated request has completed it. */
 	}
 	this->NoteAnswer(it->second);
 	if (code == ResultCode::RC_LOG_RECORDING) {
 		it->second.recording = true;
 		it->second.probed = false;
-		it->second.checked_at = this->scheduler.Now() + Millis(1); /* Later than this answer. */
+		it->second.checked_at = this->scheduler.Now() + Millis(1); /* Later than this answer, so that only a further
+																	* message counts. */
 		it->second.deadline = std::max(it->second.deadline, it->second.recording_until);
 		this->Again(number);
 		return;
--- a/src/node/owner_lookup.h
+++ b/src/node/owner_lookup.h
@@ -1,4 +1,4 @@
-/** @file owner_lookup.h Questions to the node that owns a shard, over frames. */
+/** @file owner_lookup.h Requests to the node that owns a shard, over frame connections. */
 #ifndef OWNER_LOOKUP_H
 #define OWNER_LOOKUP_H
 
@@ -7,54 +7,62 @@
 #include "../net/frame_link.h"
 #include "../store/group_member.h"
 
-/** A question about a job, or about a route's waiting jobs. Its answer comes from the owner of the service's shard. */
+/** A query for the state of a job, or for the number of waiting jobs of a route. The owner of the service's shard
+ * answers it. */
 struct JobQuestion {
-	ServiceName service; ///< Service whose shard knows.
-	RouteName route;     ///< The route, for a count.
-	JobId job;           ///< The job; empty for a count.
-	AccountName account; ///< Account of the caller; empty on a route without keys.
+	ServiceName service; ///< Service whose shard has the jobs.
+	RouteName route;     ///< The route, for a count of waiting jobs.
+	JobId job;           ///< The job; empty for a count of waiting jobs.
+	AccountName account; ///< Account of the caller; empty on a route that needs no key.
 };
 
 /** Answer to a JobQuestion. */
 struct JobAnswer {
 	ResultCode code =
 			ResultCode::RC_PEER_UNAVAILABLE; ///< RC_OK, RC_UNKNOWN_JOB, RC_OTHER_ACCOUNT or RC_PEER_UNAVAILABLE.
-	JobPhase phase = JobPhase::JP_QUEUED;    ///< Where the job stands.
-	uint32_t waiting = 0;                    ///< Jobs that wait.
+	JobPhase phase = JobPhase::JP_QUEUED;    ///< State of the job.
+	uint32_t waiting = 0;                    ///< Number of waiting jobs of the route.
 };
 
-/** Finds owners and asks them. */
+/** Finds the owners of shards and sends them requests. */
 class OwnerLookup {
 public:
-	/** Makes the frame of a question. */
+	/** Builds the frame of a request with the given number. */
 	using Make = std::function<MessageUnion(uint64_t number)>;
-	/** Gets the answer's frame, or RC_PEER_UNAVAILABLE and null when nobody knew in time. */
+	/** Called with the result code and the answer's frame; the frame is null if no owner answered in time. */
 	using Done = std::function<void(ResultCode, const MessageUnion *)>;
 
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param log The log, which knows the owners; outlives this.
-	 * @param events Lines; outlives this.
+	 * @param log The log, which has the records of owners; outlives this object.
+	 * @param events Event log; outlives this object.
 	 */
 	OwnerLookup(Scheduler &scheduler, KeyedLog &log, EventLog &events);
 
 	/**
-	 * Asks until an owner answers or time is up.
-	 * @param shard Partition that holds the shard's progress, and the record of its owner.
-	 * @param what What is asked, for the log.
-	 * @param deadline Until when.
-	 * @param make Makes the question.
-	 * @param done Gets the answer. RC_OUTCOME_UNKNOWN when a node was asked and said nothing.
-	 * @param recording_until Until when the result may come, once an owner has said that it is recording.
+	 * Sends a request, repeatedly if necessary, until an owner answers or the deadline passes.
+	 * @param shard Partition that holds the shard's progress and the record of its owner.
+	 * @param what Subject of the request, for the event log.
+	 * @param deadline Time at which the request is given up.
+	 * @param make Builds the request.
+	 * @param done Called with the answer; RC_OUTCOME_UNKNOWN if a request was sent and not answered,
+	 * RC_PEER_UNAVAILABLE if none was sent.
+	 * @param recording_until New deadline once an owner reports that it is recording.
 	 */
 	void Ask(const PartitionId &shard, const std::string &what, Millis deadline, Make make, Done done,
 			 Millis recording_until = Millis(0));
 
-	/** @return Whether an owner is known and the connection to its node stands; seeks it otherwise. @param shard
-	 * Partition that holds the shard's progress. */
+	/**
+	 * Checks whether a shard's owner is known and connected, and looks it up in the log if the known one is missing or
+	 * out of date.
+	 * @param shard Partition that holds the shard's progress.
+	 * @return Whether the connection to the node of a known owner is up.
+	 */
 	[[nodiscard]] bool Ready(const PartitionId &shard);
-	/** @return Address of a shard's owner, as last heard; empty when not known. @param shard Partition that holds the
-	 * shard's progress. */
+	/**
+	 * @param shard Partition that holds the shard's progress.
+	 * @return IP:port of the last known owner's node; empty if none is known.
+	 */
 	[[nodiscard]] std::string OwnerOf(const PartitionId &shard) const
 	{
 		const auto it = this->owners.find(shard);
@@ -62,55 +70,61 @@
 	}
 
 private:
-	/** A question under way. */
+	/** A request in progress. */
 	struct Open {
 		PartitionId shard;      ///< Partition that holds the shard's progress.
-		std::string what;       ///< What is asked, for the log.
-		Millis deadline;        ///< Until when.
-		Make make;              ///< Makes the question.
-		Done done;              ///< Gets the answer.
-		std::string asked;      ///< Node that was asked last.
-		Millis recording_until; ///< New deadline once an owner is recording.
-		bool recording = false; ///< Whether an owner has said so.
-		bool probed = false;    ///< Whether its node was asked since whether it is still there.
-		Millis checked_at;      ///< When the wait for a sign of its node began.
-		bool sent = false;      ///< Whether a question is out that nobody has answered.
-		Millis sent_at;         ///< When it was sent last.
-		bool lost = false;      ///< Whether an earlier question got no answer: it may still be carried out.
-		TimerId timer;          ///< Next try.
+		std::string what;       ///< Subject of the request, for the event log.
+		Millis deadline;        ///< Time at which the request is given up.
+		Make make;              ///< Builds the request.
+		Done done;              ///< Called with the answer.
+		std::string asked;      ///< IP:port of the node that was asked last; empty if none.
+		Millis recording_until; ///< New deadline once an owner reports that it is recording.
+		bool recording = false; ///< Whether an owner has reported that it is recording.
+		bool probed = false;    ///< Whether a probe was sent to the recording node since it was last heard.
+		Millis checked_at;      ///< Start of the current wait for any message from the recording node.
+		bool sent = false;      ///< Whether the last request was sent and not answered.
+		Millis sent_at;         ///< Time of the last attempt to send.
+		bool lost = false;      ///< Whether an earlier request got no answer and may still be executed.
+		TimerId timer;          ///< Timer of the next attempt.
 	};
 
-	/** A node that owns shards. */
+	/** Connection to a node that owns shards. */
 	struct Peer {
-		std::unique_ptr<FrameClient> client; ///< Connection.
-		Millis made_at;                      ///< When that was begun.
-		Millis heard_at{-1000000};           ///< When the node was last heard of.
-		/** An answer is waited for so long. It follows what answers took: a node that is late would get each question
-		 * again and again, each time over a new connection, and its answers would find the old one closed. */
+		std::unique_ptr<FrameClient> client; ///< The connection.
+		Millis made_at;                      ///< Time at which the connection was created.
+		Millis heard_at{-1000000};           ///< Time of the last message from the node.
+		/** Answer timeout, adapted to the duration of past answers. With a fixed one, a slow node would receive each
+		 * request several times, each over a new connection, and its answers would be lost with the closed connections.
+		 */
 		Millis patience;
 	};
 
-	/** What is known of a shard's owner. */
+	/** Last known owner of a shard. */
 	struct KnownOwner {
-		std::string address;       ///< Its node; empty when not known.
-		bool asking = false;       ///< Whether the log is being asked.
-		Millis asked_at{-1000000}; ///< When the log was asked last.
+		std::string address;       ///< IP:port of the owner's node; empty if not known.
+		bool asking = false;       ///< Whether a read of the owner's record is in progress.
+		Millis asked_at{-1000000}; ///< Time at which the last read of the owner's record began.
 	};
 
-	Scheduler &scheduler;                                       ///< Clock and timers.
-	KeyedLog &log;                                              ///< Knows the owners.
-	EventLog &events;                                           ///< Lines.
-	std::map<PartitionId, KnownOwner> owners;                   ///< Owners by shard.
-	std::map<std::string, Peer> peers;                          ///< Nodes by address.
-	std::map<uint64_t, Open> open;                              ///< Questions under way.
-	uint64_t last_number = 0;                                   ///< Last question's number.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	Scheduler &scheduler;                     ///< Clock and timers.
+	KeyedLog &log;                            ///< The log, which has the records of owners.
+	EventLog &events;                         ///< Event log.
+	std::map<PartitionId, KnownOwner> owners; ///< Known owners by shard.
+	std::map<std::string, Peer> peers;        ///< Connections by the node's address.
+	std::map<uint64_t, Open> open;            ///< Requests in progress, by number.
+	uint64_t last_number = 0;                 ///< Number of the last request.
+	std::shared_ptr<bool> alive =
+			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
 
 	void Try(uint64_t number);
 	void Again(uint64_t number);
 	void CheckNode(uint64_t number, Open &question);
 	void Probe(const std::string &address);
-	/** A node has not answered. @param question What it was asked. @param since When the wait for it began. */
+	/**
+	 * Gives up on a node that has not answered: drops a dead connection and looks the owner up again.
+	 * @param question The request that the node has not answered.
+	 * @param since Start of the wait for the answer.
+	 */
 	void GiveUpNode(Open &question, Millis since);
 	void Refresh(const PartitionId &shard);
 	void ReadOwner(const PartitionId &shard, const PartitionId &from);
--- a/src/node/shard_host.cpp
+++ b/src/node/shard_host.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-/** A node keeps so many shards that are not dealt to it: fewer would hand them over more often, more would leave more
- * of them without owner when it fails. */
+/** Minimum number of shards that a node keeps although they are assigned to others. A smaller number causes more
+ * handovers; a larger one leaves more shards without an owner when the node fails. */
 constexpr size_t KEEP_AT_LEAST = 2;
-constexpr size_t GONE_KEPT = 300; ///< Last reports of lives that are gone: those of a minute in which all boxes move.
-/** Who owns what is not dealt here is looked at so often: an earlier process of this node may have owned it, and others
- * wait while the record names a node that lives. */
+constexpr size_t GONE_KEPT =
+		300; ///< Last reports kept of former incarnations of agents: those of a minute in which all boxes move.
+/** Interval at which the owners of shards that are not assigned to this node are checked. An earlier process of this
+ * node may be the recorded owner, and other nodes wait as long as the record names a live node. */
 constexpr Millis LOOK_EVERY(5000);
 
 } // namespace
@@ -60,8 +61,8 @@
 bool ShardHost::Watched(const ServiceName &service) const
 {
 	const std::optional<uint32_t> part = PartitionOf(this->config, service, this->partitions);
-	/* One that owns something is not to get a second queue by watching: with 1,100 boxes a node that had two fell
-	 * behind for 12 s of a peak (one day played twice). */
+	/* A node that owns a shard does not watch another, so that it does not come to own two. With 1,100 boxes, a node
+	 * with two shards fell 12 s behind during a load peak. */
 	return part && this->member.Holds(WatcherOf(*part, this->partitions)) && this->Claimed() == 0;
 }
 
@@ -98,14 +99,15 @@
 		} else if (!wanted && it->second->Waiting()) {
 			this->owners.erase(it);
 		} else if (!dealt && it->second->Claimed() && (this->member.IsStandby() || owned > this->KeepMost())) {
-			/* A member that only was missed for a moment goes on owning: who comes after it would have to claim first.
+			/* A member that the group missed only briefly keeps its shards: a new owner would have to claim them first.
 			 */
 			this->parts.events.Write("shard_handed_over", {{"service", service.name.Value()}});
 			this->Release(service.name);
 			owned--;
 		}
 	}
-	/* Who may have to take over keeps the reports at hand: a new owner that can't read them places nothing. */
+	/* Nodes that may have to take over a shard keep the box reports in memory: a new owner can't place anything without
+	 * them. */
 	const bool watch = !this->owners.empty() || this->member.HeldRecently();
 	this->feed.WatchBoxes(watch);
 	if (!watch) {
@@ -120,7 +122,8 @@
 			this->parts, service, [this, service] { return this->Dealt(service); },
 			[this, service] { return this->Watched(service); });
 	owner->on_lost = [this, service] {
-		/* Not from inside the owner's own call. The record tells whether another owner came. */
+		/* Deferred, since the owner must not be destroyed during its own callback. The new owner reads from the record
+		 * whether another node has claimed the shard. */
 		this->parts.scheduler.After(Millis(0), [this, service] {
 			if (!this->stopped) {
 				this->owners.erase(service);
--- a/src/node/shard_host.h
+++ b/src/node/shard_host.h
@@ -1,4 +1,4 @@
-/** @file shard_host.h The shards that this node owns, by its part in the group of nodes. */
+/** @file shard_host.h The shards that this node owns, according to its membership in the group of nodes. */
 #ifndef SHARD_HOST_H
 #define SHARD_HOST_H
 
@@ -8,69 +8,87 @@
 
 #include <deque>
 
-/** Names of the group of nodes, and of the topic whose partitions stand for shards. */
+/** Names of the group of nodes and of the topic whose partitions represent shards. */
 inline constexpr const char *NODE_GROUP = "nodes";
 inline constexpr const char *NODE_TOPIC = "shards";
 
 /**
- * Number of the partition that stands for a service's shard.
- * @param config The configuration: services are spread evenly, since the group deals neighbours to one member.
+ * Maps a service to the partition that represents its shard. Services are spread evenly over the partitions, because
+ * the group assigns adjacent partitions to the same member.
+ * @param config The configuration.
  * @param service The service.
- * @param partitions Partitions of a topic.
- * @return The partition, or nothing when the service is not configured or runs no jobs.
+ * @param partitions Number of partitions of the topic.
+ * @return Number of the partition, or nothing if the service is not configured or runs no jobs.
  */
 std::optional<uint32_t> PartitionOf(const JobConfig &config, const ServiceName &service, uint32_t partitions);
 
 /**
- * Number of the partition whose member watches the owner of a shard. It stands for no shard itself: services are spread
- * over the partitions.
- * @param part The partition that stands for the shard.
- * @param partitions Partitions of a topic.
+ * Selects the partition whose holder monitors the owner of a shard. That partition represents no shard itself as long
+ * as services are spread over the partitions.
+ * @param part Partition that represents the shard.
+ * @param partitions Number of partitions of the topic.
+ * @return Number of the partition.
  */
 uint32_t WatcherOf(uint32_t part, uint32_t partitions);
 
-/** Claims shards that the group deals to this node once their owners are gone, and owns them while it is in the group.
- */
+/** Claims the shards that the group assigns to this node once their previous owners are gone, and owns them while this
+ * node is a member of the group. */
 class ShardHost {
 public:
 	/**
-	 * @param parts What owners need.
-	 * @param member This node's part in the group; outlives this.
-	 * @param feed For boxes' reports; outlives this.
-	 * @param partitions Partitions of a topic.
+	 * @param parts Dependencies of shard owners.
+	 * @param member This node's membership in the group; outlives this object.
+	 * @param feed Source of box reports; outlives this object.
+	 * @param partitions Number of partitions of the topic.
 	 */
 	ShardHost(ShardOwnerContext parts, GroupMember &member, SiteFeed &feed, uint32_t partitions);
 
-	/** Takes a configuration. @param config It. */
+	/**
+	 * Applies a configuration.
+	 * @param config The configuration.
+	 */
 	void Configure(const JobConfig &config);
-	/** The group has answered: begins and ends ownerships. */
+	/** Starts and releases shard owners according to the current membership; called after each answer of the group. */
 	void OnMembership();
-	/** Takes a box's report. @param report It. */
+	/**
+	 * Processes a box's report.
+	 * @param report The report.
+	 */
 	void OnReport(const BoxReport &report);
-	/** The report under an id is gone. @param id The id. */
+	/**
+	 * Processes the removal of a box's report.
+	 * @param id Id of the box's agent.
+	 */
 	void OnReportRemoved(const BoxId &id);
-	/** Lets go of everything, for good: the node stops. */
+	/** Releases all shards and claims none afterwards; called when the node stops. */
 	void Clear();
 
-	/** @return The owner of a service here, or null. @param service The service. */
+	/**
+	 * @param service The service.
+	 * @return Owner of the service's shard on this node, or null.
+	 */
 	[[nodiscard]] const ShardOwner *Find(const ServiceName &service) const;
-	/** @return The same, to be asked to do something. @param service The service. */
+	/**
+	 * @param service The service.
+	 * @return Owner of the service's shard on this node, or null.
+	 */
 	ShardOwner *Find(const ServiceName &service);
-	/** @return All owners here. */
+	/** @return All shard owners of this node, by service. */
 	[[nodiscard]] const std::map<ServiceName, std::unique_ptr<ShardOwner>> &Owners() const { return this->owners; }
 
 private:
-	ShardOwnerContext parts;                                   ///< What owners need.
-	GroupMember &member;                                       ///< This node's part in the group.
-	SiteFeed &feed;                                            ///< For boxes' reports.
-	uint32_t partitions;                                       ///< Partitions of a topic.
-	JobConfig config;                                          ///< The configuration in force.
-	std::map<BoxId, BoxReport> reports;                        ///< Boxes' reports.
-	std::deque<BoxReport> gone;                                ///< Last reports of lives whose report has gone.
-	std::map<ServiceName, std::unique_ptr<ShardOwner>> owners; ///< Shards owned, being claimed, or waited for.
-	Millis looked_at{-1000000};                                ///< When the owners of all services were last looked at.
-	std::vector<std::unique_ptr<ShardOwner>> releasing;        ///< Shards being let go.
-	bool stopped = false;                                      ///< Whether nothing is claimed any more.
+	ShardOwnerContext parts;            ///< Dependencies of shard owners.
+	GroupMember &member;                ///< This node's membership in the group.
+	SiteFeed &feed;                     ///< Source of box reports.
+	uint32_t partitions;                ///< Number of partitions of the topic.
+	JobConfig config;                   ///< The configuration in force.
+	std::map<BoxId, BoxReport> reports; ///< Current box reports, by agent id.
+	std::deque<BoxReport> gone; ///< Last reports of incarnations of agents that have no report any more, oldest first.
+	std::map<ServiceName, std::unique_ptr<ShardOwner>>
+			owners;             ///< Shards that are owned, being claimed or waited for, by service.
+	Millis looked_at{-1000000}; ///< Time at which the owners of all services were last checked.
+	std::vector<std::unique_ptr<ShardOwner>> releasing; ///< Shards being released.
+	bool stopped = false;                               ///< Whether Clear() was called.
 
 	void KeepGone(const BoxReport &report);
 	[[nodiscard]] bool Dealt(const ServiceName &service) const;
