--- a/src/node/config_exchange.cpp
+++ b/src/node/config_exchange.cpp
@@ -7,20 +7,20 @@
 
 /** Time without an answer after which the store counts as unreachable. The store ends each long poll within a second,
  * even if there are no new records. */
-constexpr Millis SILENT_AFTER(1300);
-constexpr Millis LOOK_EVERY(200); ///< Interval of the checks, and of the polls while the store is unreachable.
-constexpr size_t ASKED_AT_ONCE =
-		2;                        ///< Nodes asked per poll; the store may refuse a third of all nodes at the same time.
-constexpr size_t CONFIRM_BY = 3;  ///< Nodes asked per confirmation.
-constexpr size_t KNOWN_MOST = 24; ///< Maximum number of known peers.
+constexpr Millis STORE_TIMEOUT(1300);
+constexpr Millis POLL_INTERVAL(200); ///< Interval of the checks, and of the polls while the store is unreachable.
+/** Nodes asked per poll; the store may refuse a third of all nodes at the same time. */
+constexpr size_t PEERS_PER_POLL = 2;
+constexpr size_t PEERS_PER_CONFIRMATION = 3; ///< Nodes asked per confirmation.
+constexpr size_t KNOWN_PEERS_MAX = 24;       ///< Maximum number of known peers.
 
 } // namespace
 
 void ConfigExchange::Start()
 {
-	this->scheduler.After(LOOK_EVERY, [this, still = std::weak_ptr<bool>(this->alive)] {
+	this->scheduler.After(POLL_INTERVAL, [this, still = std::weak_ptr<bool>(this->alive)] {
 		if (!still.expired()) {
-			this->Look();
+			this->PollPeers();
 			this->Start();
 		}
 	});
@@ -28,70 +28,71 @@
 
 void ConfigExchange::AddPeer(const std::string &address)
 {
-	if (address.empty() || address == this->self || std::ranges::find(this->known, address) != this->known.end()) {
+	if (address.empty() || address == this->self ||
+		std::ranges::find(this->known_peers, address) != this->known_peers.end()) {
 		return;
 	}
-	this->known.push_front(address);
-	if (this->known.size() > KNOWN_MOST) {
-		this->known.pop_back();
+	this->known_peers.push_front(address);
+	if (this->known_peers.size() > KNOWN_PEERS_MAX) {
+		this->known_peers.pop_back();
 	}
 }
 
-bool ConfigExchange::StoreSilent() const
+bool ConfigExchange::StoreUnreachable() const
 {
-	return this->scheduler.Now() - this->feed.LastAnswerAt() > SILENT_AFTER;
+	return this->scheduler.Now() - this->feed.LastAnswerAt() > STORE_TIMEOUT;
 }
 
-void ConfigExchange::Look()
+void ConfigExchange::PollPeers()
 {
-	if (!this->StoreSilent()) {
+	if (!this->StoreUnreachable()) {
 		return;
 	}
-	for (size_t n = 0; n < std::min(ASKED_AT_ONCE, this->known.size()); n++) {
-		this->AskNext(false, [](bool) { /* AskNext() applies the answer. */ });
+	for (size_t n = 0; n < std::min(PEERS_PER_POLL, this->known_peers.size()); n++) {
+		this->AskNextPeer(false, [](bool) { /* AskNextPeer() applies the answer. */ });
 	}
 }
 
-void ConfigExchange::AskNext(bool confirm, const std::function<void(bool)> &done)
+void ConfigExchange::AskNextPeer(bool confirm, const std::function<void(bool)> &done)
 {
-	const std::string address = this->known.front();
-	this->known.pop_front();
-	this->known.push_back(address);
-	this->questions++;
+	const std::string address = this->known_peers.front();
+	this->known_peers.pop_front();
+	this->known_peers.push_back(address);
+	this->requests_sent++;
 	this->peers.Ask(address, ConfigQuestion{this->feed.ConfigVersion(), confirm},
 					[this, address, done, still = std::weak_ptr<bool>(this->alive)](const PeerConfig &answer) {
 						if (still.expired()) {
 							return;
 						}
-						this->Take(address, answer);
+						this->ApplyAnswer(address, answer);
 						if (answer.age == Millis(0) && answer.version <= this->feed.ConfigVersion()) {
 							done(true);
 						}
 					});
 }
 
-void ConfigExchange::Take(const std::string &from, const PeerConfig &answer)
+void ConfigExchange::ApplyAnswer(const std::string &from, const PeerConfig &answer)
 {
-	const uint64_t before = this->feed.ConfigVersion();
-	if (answer.body.empty() || answer.version <= before) {
+	const uint64_t old_version = this->feed.ConfigVersion();
+	if (answer.body.empty() || answer.version <= old_version) {
 		return;
 	}
 	this->feed.TakeConfig(answer.body);
-	this->learned += this->feed.ConfigVersion() > before ? 1 : 0;
+	this->configs_adopted += this->feed.ConfigVersion() > old_version ? 1 : 0;
 	this->events.Write("config_from_node", {{"node", from},
 											{"version", std::to_string(this->feed.ConfigVersion())},
-											{"before", std::to_string(before)},
+											{"before", std::to_string(old_version)},
 											{"age_ms", std::to_string(answer.age.Value())}});
 }
 
 void ConfigExchange::Confirm(const std::function<void(bool)> &done)
 {
 	this->feed.Confirm(done);
-	if (!this->StoreSilent()) {
+	if (!this->StoreUnreachable()) {
 		return;
 	}
-	for (size_t n = 0; n < std::min(CONFIRM_BY, this->known.size()); n++) {
-		this->AskNext(true, done);
+	for (size_t n = 0; n < std::min(PEERS_PER_CONFIRMATION, this->known_peers.size()); n++) {
+		this->AskNextPeer(true, done);
 	}
 }
 
--- a/src/node/config_exchange.h
+++ b/src/node/config_exchange.h
@@ -14,8 +14,8 @@
 /** A request of one node to another for its configuration. */
 struct ConfigQuestion {
 	uint64_t version = 0; ///< Configuration version of the requesting node.
-	bool confirm = false; ///< Whether the peer must confirm with the store that its own version is the newest before it
-						  ///< answers.
+	/** Whether the peer must confirm with the store that its own version is the newest before it answers. */
+	bool confirm = false;
 };
 
 /** A peer's answer to a ConfigQuestion. */
@@ -40,9 +40,10 @@
 	virtual void Ask(const std::string &address, const ConfigQuestion &question, Done done) = 0;
 };
 
-/** A node that the store refuses would keep an old configuration: revoked keys would still be accepted and new ones
- * rejected. While the store does not answer, such a node polls other nodes in turn; a node that the store answers polls
- * nobody. A configuration from a peer is validated like one from the store and never replaces a newer version. */
+/** Obtains newer configurations from other nodes. A node that the store refuses would keep an old configuration:
+ * revoked keys would still be accepted and new ones rejected. While the store does not answer, such a node polls other
+ * nodes in turn; a node that the store answers polls nobody. A configuration from a peer is validated like one from the
+ * store and never replaces a newer version. */
 class ConfigExchange {
 public:
 	/**
@@ -78,26 +79,26 @@
 	void Answer(const ConfigQuestion &question, const ConfigPeers::Done &done);
 
 	/** @return Number of requests sent to peers. */
-	[[nodiscard]] uint64_t Questions() const { return this->questions; }
+	[[nodiscard]] uint64_t RequestsSent() const { return this->requests_sent; }
 	/** @return Number of newer configurations adopted from peers. */
-	[[nodiscard]] uint64_t Learned() const { return this->learned; }
+	[[nodiscard]] uint64_t ConfigsAdopted() const { return this->configs_adopted; }
 
 private:
-	Scheduler &scheduler;          ///< Clock and timers.
-	SiteFeed &feed;                ///< Configuration that this node has.
-	ConfigPeers &peers;            ///< Transport to other nodes.
-	EventLog &events;              ///< Event log.
-	std::string self;              ///< IP:port of this node's frame server.
-	std::deque<std::string> known; ///< Addresses of known peers, the next one to ask first.
-	uint64_t questions = 0;        ///< Number of requests sent to peers.
-	uint64_t learned = 0;          ///< Number of configurations adopted from peers.
-	std::shared_ptr<bool> alive =
-			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
+	Scheduler &scheduler;                ///< Clock and timers.
+	SiteFeed &feed;                      ///< Configuration that this node has.
+	ConfigPeers &peers;                  ///< Transport to other nodes.
+	EventLog &events;                    ///< Event log.
+	std::string self;                    ///< IP:port of this node's frame server.
+	std::deque<std::string> known_peers; ///< Addresses of known peers, the next one to ask first.
+	uint64_t requests_sent = 0;          ///< Number of requests sent to peers.
+	uint64_t configs_adopted = 0;        ///< Number of configurations adopted from peers.
+	/** Lets callbacks detect that this object was destroyed. */
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-	[[nodiscard]] bool StoreSilent() const;
-	void Look();
-	void AskNext(bool confirm, const std::function<void(bool)> &done);
-	void Take(const std::string &from, const PeerConfig &answer);
+	[[nodiscard]] bool StoreUnreachable() const;
+	void PollPeers();
+	void AskNextPeer(bool confirm, const std::function<void(bool)> &done);
+	void ApplyAnswer(const std::string &from, const PeerConfig &answer);
 };
 
 #endif /* CONFIG_EXCHANGE_H */
--- a/src/node/config_peers.cpp
+++ b/src/node/config_peers.cpp
@@ -3,11 +3,11 @@
 
 namespace {
 
-constexpr Millis ANSWER_WITHIN(1000); ///< Later answers are ignored: other nodes have been asked meanwhile.
+constexpr Millis ANSWER_TIMEOUT(1000); ///< Later answers are ignored: other nodes have been asked meanwhile.
 
 } // namespace
 
-FrameClient &FramePeers::ClientOf(const std::string &address)
+FrameClient &FrameConfigPeers::ClientFor(const std::string &address)
 {
 	std::unique_ptr<FrameClient> &client = this->clients[address];
 	if (!client) {
@@ -19,7 +19,7 @@
 			}
 		};
 		client->on_up = [this, address] {
-			for (auto &[number, question] : this->open) {
+			for (auto &[number, question] : this->pending) {
 				if (question.address == address && !question.sent) {
 					this->Send(number, question);
 				}
@@ -30,47 +30,48 @@
 	return *client;
 }
 
-void FramePeers::DropOld()
+void FrameConfigPeers::DropExpired()
 {
 	const Millis now = this->scheduler.Now();
-	std::map<std::string, size_t> silent;
-	std::erase_if(this->open, [&](const auto &it) {
-		const bool old = now >= it.second.until;
-		silent[it.second.address] += old && it.second.sent ? 1 : 0;
-		return old;
+	std::map<std::string, size_t> unanswered;
+	std::erase_if(this->pending, [&](const auto &it) {
+		const bool expired = now >= it.second.expires_at;
+		unanswered[it.second.address] += expired && it.second.sent ? 1 : 0;
+		return expired;
 	});
-	for (const auto &[address, count] : silent) {
+	for (const auto &[address, count] : unanswered) {
 		if (count > 0) {
 			this->clients.erase(address); /* The connection may be dead without having been closed. */
 		}
 	}
 }
 
-void FramePeers::Ask(const std::string &address, const ConfigQuestion &question, Done done)
+void FrameConfigPeers::Ask(const std::string &address, const ConfigQuestion &question, Done done)
 {
-	this->DropOld();
+	this->DropExpired();
 	const uint64_t number = ++this->last_number;
-	const auto it =
-			this->open.emplace(number, Open{address, question, std::move(done), this->scheduler.Now() + ANSWER_WITHIN})
-					.first;
-	if (this->ClientOf(address).Up()) {
+	const auto it = this->pending
+							.emplace(number, PendingRequest{address, question, std::move(done),
+															this->scheduler.Now() + ANSWER_TIMEOUT})
+							.first;
+	if (this->ClientFor(address).Up()) {
 		this->Send(number, it->second);
 	}
 }
 
-void FramePeers::Send(uint64_t number, Open &question)
+void FrameConfigPeers::Send(uint64_t number, PendingRequest &question)
 {
 	glade::wire::ConfigQuestionT out;
 	out.number = number;
-	out.version = question.asking.version;
-	out.confirm = question.asking.confirm;
+	out.version = question.content.version;
+	out.confirm = question.content.confirm;
 	question.sent = true;
-	this->ClientOf(question.address).Send(MakeMessage(out));
+	this->ClientFor(question.address).Send(MakeMessage(out));
 }
 
-void FramePeers::OnAnswer(const glade::wire::ConfigAnswerT &in)
+void FrameConfigPeers::OnAnswer(const glade::wire::ConfigAnswerT &in)
 {
-	const auto node = this->open.extract(in.number);
+	const auto node = this->pending.extract(in.number);
 	if (node.empty()) {
 		return;
 	}
--- a/src/node/config_peers.h
+++ b/src/node/config_peers.h
@@ -8,31 +8,32 @@
 #include <map>
 
 /** Sends configuration requests over one persistent connection per node. */
-class FramePeers : public ConfigPeers {
+class FrameConfigPeers : public ConfigPeers {
 public:
 	/** @param scheduler Clock and timers. */
-	explicit FramePeers(Scheduler &scheduler) : scheduler(scheduler) {}
+	explicit FrameConfigPeers(Scheduler &scheduler) : scheduler(scheduler) {}
 
 	void Ask(const std::string &address, const ConfigQuestion &question, Done done) override;
 
 private:
 	/** A request without an answer. */
-	struct Open {
-		std::string address;   ///< IP:port of the node that was asked.
-		ConfigQuestion asking; ///< Content of the request.
-		Done done;             ///< Called with the answer.
-		Millis until;          ///< Time after which an answer is ignored.
-		bool sent = false;     ///< Whether the request was sent.
+	struct PendingRequest {
+		std::string address;    ///< IP:port of the node that was asked.
+		ConfigQuestion content; ///< Content of the request.
+		Done done;              ///< Called with the answer.
+		Millis expires_at;      ///< Time after which an answer is ignored.
+		bool sent = false;      ///< Whether the request was sent.
 	};
 
 	Scheduler &scheduler;                                        ///< Clock and timers.
 	std::map<std::string, std::unique_ptr<FrameClient>> clients; ///< Connections by address.
-	std::map<uint64_t, Open> open;                               ///< Requests without an answer, by number.
-	uint64_t last_number = 0;                                    ///< Number of the last request.
+	/** Requests without an answer, by number. */
+	std::map<uint64_t, PendingRequest> pending;
+	uint64_t last_number = 0; ///< Number of the last request.
 
-	FrameClient &ClientOf(const std::string &address);
-	void DropOld();
-	void Send(uint64_t number, Open &question);
+	FrameClient &ClientFor(const std::string &address);
+	void DropExpired();
+	void Send(uint64_t number, PendingRequest &question);
 	void OnAnswer(const glade::wire::ConfigAnswerT &in);
 };
 
--- a/src/node/inbox_writer.h
+++ b/src/node/inbox_writer.h
@@ -39,7 +39,7 @@
 
 private:
 	/** A record in the queue. */
-	struct Waiting {
+	struct QueuedRecord {
 		uint64_t number;    ///< Sequence number of the record in this writer.
 		KeyedRecord record; ///< The record.
 		Millis deadline;    ///< Time after which the record is no longer sent.
@@ -47,21 +47,21 @@
 		Done done;          ///< Called with the outcome.
 	};
 
-	Scheduler &scheduler;        ///< Clock and timers.
-	KeyedLog &log;               ///< The log.
-	PartitionId partition;       ///< The inbox partition.
-	std::deque<Waiting> waiting; ///< Records for the next append, oldest first.
-	uint64_t last_number = 0;    ///< Number of the last record.
-	Millis lost_at{-1000000};    ///< Time of the last append without an answer.
-	uint32_t lost = 0;           ///< Consecutive appends without an answer.
-	bool busy = false;           ///< Whether an append is in flight.
-	double took_ms = 0;          ///< Smoothed duration of appends, in ms.
-	std::shared_ptr<bool> alive =
-			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
+	Scheduler &scheduler;            ///< Clock and timers.
+	KeyedLog &log;                   ///< The log.
+	PartitionId partition;           ///< The inbox partition.
+	std::deque<QueuedRecord> queue;  ///< Records for the next append, oldest first.
+	uint64_t last_number = 0;        ///< Number of the last record.
+	Millis lost_at{-1000000};        ///< Time of the last append without an answer.
+	uint32_t lost_in_a_row = 0;      ///< Consecutive appends without an answer.
+	bool append_in_flight = false;   ///< Whether an append is in flight.
+	double smoothed_duration_ms = 0; ///< Smoothed duration of appends, in ms.
+	/** Lets callbacks detect that this object was destroyed. */
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-	[[nodiscard]] Millis Patience() const;
-	[[nodiscard]] bool Silent() const;
-	void HandBack(uint64_t number);
+	[[nodiscard]] Millis AppendTimeout() const;
+	[[nodiscard]] bool Unreachable() const;
+	void RefuseUnsent(uint64_t number);
 	void OnAnswer(ResultCode code, Millis took);
 	void Send();
 };
--- a/src/node/job_api.cpp
+++ b/src/node/job_api.cpp
@@ -7,13 +7,14 @@
 
 /** Time for an owner to report that it is recording; after that, the record goes to the inbox. This is three times what
  * a node takes that runs five times slower than usual. */
-constexpr Millis OWNER_WAIT(300);
+constexpr Millis OWNER_ACK_TIMEOUT(300);
 /** Time before the caller's deadline at which a recording owner is given up and the inbox is used instead. */
-constexpr Millis INBOX_RESERVE(900);
-constexpr Millis REFUSED_AGAIN(40);  ///< Delay before the retry of an append that the log refused.
-constexpr Millis REFUSE_WITHIN(120); ///< Time of refusals by the log after which the caller is refused: another node or
-									 ///< a later retry serves it sooner. A quarter of the shortest objective is 150 ms.
-constexpr Millis ANSWER_MARGIN(60);  ///< Time that an answer takes to reach the caller.
+constexpr Millis INBOX_TIME_RESERVE(900);
+constexpr Millis INBOX_RETRY_DELAY(40); ///< Delay before the retry of an append that the log refused.
+/** Time of refusals by the log after which the caller is refused: another node or a later retry serves it sooner. A
+ * quarter of the shortest objective is 150 ms. */
+constexpr Millis REFUSAL_TIMEOUT(120);
+constexpr Millis ANSWER_MARGIN(60); ///< Time that an answer takes to reach the caller.
 
 } // namespace
 
@@ -32,127 +33,128 @@
 
 void JobApi::Submit(const JobSpec &spec, const ServiceName &service, Millis deadline, Done done)
 {
-	this->Record(std::make_shared<Pending>(
+	this->BeginRecording(std::make_shared<Pending>(
 			Pending{service, KeyedRecord{KeyOf(InboxKey{spec.id, spec.account}), EncodeSubmission(spec)},
 					this->scheduler.Now(), deadline, false, std::move(done)}));
 }
 
 void JobApi::Cancel(const JobId &id, const AccountName &account, const ServiceName &service, Millis deadline, Done done)
 {
-	this->Record(std::make_shared<Pending>(Pending{service,
-												   KeyedRecord{KeyOf(InboxKey{id, account, true}), std::string("1")},
-												   this->scheduler.Now(), deadline, false, std::move(done)}));
+	this->BeginRecording(std::make_shared<Pending>(
+			Pending{service, KeyedRecord{KeyOf(InboxKey{id, account, true}), std::string("1")}, this->scheduler.Now(),
+					deadline, false, std::move(done)}));
 }
 
-void JobApi::Record(const std::shared_ptr<Pending> &it)
+void JobApi::BeginRecording(const std::shared_ptr<Pending> &pending)
 {
-	this->open++;
-	this->scheduler.After(std::max(it->deadline - ANSWER_MARGIN - this->scheduler.Now(), Millis(1)),
-						  [this, it, still = std::weak_ptr<bool>(this->alive)] {
+	this->in_progress++;
+	this->scheduler.After(std::max(pending->deadline - ANSWER_MARGIN - this->scheduler.Now(), Millis(1)),
+						  [this, pending, still = std::weak_ptr<bool>(this->alive)] {
 							  if (!still.expired()) {
-								  this->Finish(it, it->uncertain ? ResultCode::RC_OUTCOME_UNKNOWN
-																 : ResultCode::RC_LOG_UNAVAILABLE);
+								  this->Finish(pending, pending->uncertain ? ResultCode::RC_OUTCOME_UNKNOWN
+																		   : ResultCode::RC_LOG_UNAVAILABLE);
 							  }
 						  });
-	ShardOwner *owner = this->host.Find(it->service);
+	ShardOwner *owner = this->host.Find(pending->service);
 	if (owner != nullptr && owner->Running() != nullptr) {
-		it->uncertain = true;
-		owner->Accept(it->record, [this, it, still = std::weak_ptr<bool>(this->alive)](ResultCode code) {
+		pending->uncertain = true;
+		owner->Accept(pending->record, [this, pending, still = std::weak_ptr<bool>(this->alive)](ResultCode code) {
 			if (!still.expired()) {
-				this->OnOwner(it, code);
+				this->OnOwnerAnswer(pending, code);
 			}
 		});
-	} else if (this->lookup.Ready(PartitionId{TopicOf(it->service), PROGRESS_PARTITION})) {
-		this->AskOwner(it);
+	} else if (this->lookup.OwnerConnected(PartitionId{TopicOf(pending->service), PROGRESS_PARTITION})) {
+		this->SendToOwner(pending);
 	} else {
-		this->TryInbox(it);
+		this->AppendToInbox(pending);
 	}
 }
 
-void JobApi::AskOwner(const std::shared_ptr<Pending> &it)
+void JobApi::SendToOwner(const std::shared_ptr<Pending> &pending)
 {
-	const auto make = [it](uint64_t number) {
+	const auto make = [pending](uint64_t number) {
 		glade::wire::RecordQuestionT out;
 		out.number = number;
-		out.service = it->service.Value();
-		out.key = it->record.key;
-		out.value.assign(it->record.value->begin(), it->record.value->end());
+		out.service = pending->service.Value();
+		out.key = pending->record.key;
+		out.value.assign(pending->record.value->begin(), pending->record.value->end());
 		return MakeMessage(std::move(out));
 	};
-	it->uncertain = true;
+	pending->uncertain = true;
 	this->lookup.Ask(
-			PartitionId{TopicOf(it->service), PROGRESS_PARTITION}, it->record.key, this->scheduler.Now() + OWNER_WAIT,
-			make,
-			[this, it, still = std::weak_ptr<bool>(this->alive)](ResultCode code, const MessageUnion *) {
+			PartitionId{TopicOf(pending->service), PROGRESS_PARTITION}, pending->record.key,
+			this->scheduler.Now() + OWNER_ACK_TIMEOUT, make,
+			[this, pending, still = std::weak_ptr<bool>(this->alive)](ResultCode code, const MessageUnion *) {
 				if (!still.expired()) {
-					this->OnOwner(it, code);
+					this->OnOwnerAnswer(pending, code);
 				}
 			},
-			it->deadline - INBOX_RESERVE);
+			pending->deadline - INBOX_TIME_RESERVE);
 }
 
-void JobApi::OnOwner(const std::shared_ptr<Pending> &it, ResultCode code)
+void JobApi::OnOwnerAnswer(const std::shared_ptr<Pending> &pending, ResultCode code)
 {
 	if (code == ResultCode::RC_OK || code == ResultCode::RC_OTHER_ACCOUNT || code == ResultCode::RC_ACCOUNT_BUSY) {
-		this->Finish(it, code);
+		this->Finish(pending, code);
 		return;
 	}
 	/* Any answer other than an unknown outcome means that the owner doesn't record it. */
-	it->uncertain = code == ResultCode::RC_OUTCOME_UNKNOWN;
-	this->TryInbox(it);
+	pending->uncertain = code == ResultCode::RC_OUTCOME_UNKNOWN;
+	this->AppendToInbox(pending);
 }
 
-void JobApi::TryInbox(const std::shared_ptr<Pending> &it)
+void JobApi::AppendToInbox(const std::shared_ptr<Pending> &pending)
 {
-	if (!it->done) {
+	if (!pending->done) {
 		return;
 	}
-	auto &inbox = this->inboxes[it->service];
+	auto &inbox = this->inboxes[pending->service];
 	if (!inbox) {
 		inbox = std::make_unique<InboxWriter>(this->scheduler, this->log,
-											  PartitionId{TopicOf(it->service), INBOX_PARTITION});
+											  PartitionId{TopicOf(pending->service), INBOX_PARTITION});
 	}
 	/* Appends need no sequence numbers: only the first record of a key counts. */
-	const bool before = std::exchange(it->uncertain, true); /* Holds while the append is in flight. */
-	inbox->Append(it->record, it->deadline - ANSWER_MARGIN, before,
-				  [this, it, before, still = std::weak_ptr<bool>(this->alive)](ResultCode code) {
+	const bool was_uncertain = std::exchange(pending->uncertain, true); /* Holds while the append is in flight. */
+	inbox->Append(pending->record, pending->deadline - ANSWER_MARGIN, was_uncertain,
+				  [this, pending, was_uncertain, still = std::weak_ptr<bool>(this->alive)](ResultCode code) {
 					  if (!still.expired()) {
-						  it->uncertain = before;
-						  this->OnAppended(it, code);
+						  pending->uncertain = was_uncertain;
+						  this->OnInboxAnswer(pending, code);
 					  }
 				  });
 }
 
-void JobApi::OnAppended(const std::shared_ptr<Pending> &it, ResultCode code)
+void JobApi::OnInboxAnswer(const std::shared_ptr<Pending> &pending, ResultCode code)
 {
 	if (code == ResultCode::RC_OK) {
-		this->Finish(it, code);
+		this->Finish(pending, code);
 		return;
 	}
-	it->uncertain = it->uncertain || code == ResultCode::RC_LOG_ANSWER_LOST;
-	if (!it->uncertain && this->scheduler.Now() - it->begun >= REFUSE_WITHIN) {
-		this->Finish(it, code);
+	pending->uncertain = pending->uncertain || code == ResultCode::RC_LOG_ANSWER_LOST;
+	if (!pending->uncertain && this->scheduler.Now() - pending->started_at >= REFUSAL_TIMEOUT) {
+		this->Finish(pending, code);
 		return;
 	}
-	this->scheduler.After(REFUSED_AGAIN, [this, it, still = std::weak_ptr<bool>(this->alive)] {
+	this->scheduler.After(INBOX_RETRY_DELAY, [this, pending, still = std::weak_ptr<bool>(this->alive)] {
 		if (!still.expired()) {
-			this->TryInbox(it);
+			this->AppendToInbox(pending);
 		}
 	});
 }
 
-void JobApi::Finish(const std::shared_ptr<Pending> &it, ResultCode code)
+void JobApi::Finish(const std::shared_ptr<Pending> &pending, ResultCode code)
 {
-	const Done done = std::exchange(it->done, nullptr);
+	const Done done = std::exchange(pending->done, nullptr);
 	if (!done) {
 		return; /* The result was reported already. */
 	}
-	this->open--;
-	this->events.Write("recorded", {{"key", it->record.key},
-									{"service", it->service.Value()},
-									{"config", std::to_string(this->config.version)},
-									{"code", SymbolOf(code)},
-									{"took_ms", std::to_string((this->scheduler.Now() - it->begun).Value())}});
+	this->in_progress--;
+	this->events.Write("recorded",
+					   {{"key", pending->record.key},
+						{"service", pending->service.Value()},
+						{"config", std::to_string(this->config.version)},
+						{"code", SymbolOf(code)},
+						{"took_ms", std::to_string((this->scheduler.Now() - pending->started_at).Value())}});
 	done(code);
 }
 
@@ -183,9 +185,9 @@
 
 void JobApi::Ask(const JobQuestion &question, Millis deadline, std::function<void(const JobAnswer &)> done)
 {
-	const JobAnswer here = this->AnswerLocally(question);
-	if (here.code != ResultCode::RC_PEER_UNAVAILABLE) {
-		done(here);
+	const JobAnswer local_answer = this->AnswerLocally(question);
+	if (local_answer.code != ResultCode::RC_PEER_UNAVAILABLE) {
+		done(local_answer);
 		return;
 	}
 	const auto make = [question](uint64_t number) {
@@ -197,9 +199,9 @@
 		out.account = question.account.Value();
 		return MakeMessage(std::move(out));
 	};
-	const std::string what = question.job.Empty() ? question.route.Value() : question.job.Value();
+	const std::string subject = question.job.Empty() ? question.route.Value() : question.job.Value();
 	this->lookup.Ask(
-			PartitionId{TopicOf(question.service), PROGRESS_PARTITION}, what, deadline - ANSWER_MARGIN, make,
+			PartitionId{TopicOf(question.service), PROGRESS_PARTITION}, subject, deadline - ANSWER_MARGIN, make,
 			[done = std::move(done)](ResultCode code, const MessageUnion *message) {
 				const auto *in = message == nullptr ? nullptr : message->AsJobAnswer();
 				done(in == nullptr ? JobAnswer{} : JobAnswer{code, static_cast<JobPhase>(in->phase), in->waiting});
--- a/src/node/job_api.h
+++ b/src/node/job_api.h
@@ -62,14 +62,14 @@
 	 */
 	[[nodiscard]] JobAnswer AnswerLocally(const JobQuestion &question) const;
 	/** @return Number of submissions and cancellations in progress. */
-	[[nodiscard]] size_t Open() const { return this->open; }
+	[[nodiscard]] size_t InProgress() const { return this->in_progress; }
 
 private:
 	/** A submission or cancellation in progress, until its outcome is known or its deadline passes. */
 	struct Pending {
 		ServiceName service;    ///< Service whose shard records it.
 		KeyedRecord record;     ///< The record, in the format of the inbox.
-		Millis begun;           ///< Time of the caller's request.
+		Millis started_at;      ///< Time of the caller's request.
 		Millis deadline;        ///< Time at which the caller stops waiting.
 		bool uncertain = false; ///< Whether one of the attempts may have recorded it.
 		Done done;              ///< Called with the result; null after that.
@@ -81,18 +81,18 @@
 	OwnerLookup &lookup;  ///< Requests to owners on other nodes.
 	EventLog &events;     ///< Event log.
 	JobConfig config;     ///< The configuration in force.
-	std::map<ServiceName, std::unique_ptr<InboxWriter>>
-			inboxes; ///< Writers to the inboxes of shards, for when an owner can't be reached.
-	size_t open = 0; ///< Submissions and cancellations in progress.
-	std::shared_ptr<bool> alive =
-			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
+	/** Writers to the inboxes of shards, for when an owner can't be reached. */
+	std::map<ServiceName, std::unique_ptr<InboxWriter>> inboxes;
+	size_t in_progress = 0; ///< Submissions and cancellations in progress.
+	/** Lets callbacks detect that this object was destroyed. */
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-	void Record(const std::shared_ptr<Pending> &it);
-	void AskOwner(const std::shared_ptr<Pending> &it);
-	void OnOwner(const std::shared_ptr<Pending> &it, ResultCode code);
-	void TryInbox(const std::shared_ptr<Pending> &it);
-	void OnAppended(const std::shared_ptr<Pending> &it, ResultCode code);
-	void Finish(const std::shared_ptr<Pending> &it, ResultCode code);
+	void BeginRecording(const std::shared_ptr<Pending> &pending);
+	void SendToOwner(const std::shared_ptr<Pending> &pending);
+	void OnOwnerAnswer(const std::shared_ptr<Pending> &pending, ResultCode code);
+	void AppendToInbox(const std::shared_ptr<Pending> &pending);
+	void OnInboxAnswer(const std::shared_ptr<Pending> &pending, ResultCode code);
+	void Finish(const std::shared_ptr<Pending> &pending, ResultCode code);
 };
 
 #endif /* JOB_API_H */
--- a/src/node/metrics_page.cpp
+++ b/src/node/metrics_page.cpp
@@ -61,13 +61,13 @@
 
 QJsonObject DumpNode(const NodeCore &core)
 {
-	QJsonObject out{{"config", static_cast<qint64>(core.Desk().Config().version)},
+	QJsonObject out{{"config", static_cast<qint64>(core.Api().Config().version)},
 					{"ready", core.Ready()},
-					{"appends_open", static_cast<qint64>(core.Desk().Open())}};
-	out["config_questions"] = static_cast<qint64>(core.Configs().Questions());
-	out["configs_from_nodes"] = static_cast<qint64>(core.Configs().Learned());
+					{"appends_open", static_cast<qint64>(core.Api().InProgress())}};
+	out["config_questions"] = static_cast<qint64>(core.Configs().RequestsSent());
+	out["configs_from_nodes"] = static_cast<qint64>(core.Configs().ConfigsAdopted());
 	QJsonArray shards;
-	for (const auto &[service, owner] : core.Host().Owners()) {
+	for (const auto &[service, owner] : core.OwnedShards().Owners()) {
 		QJsonObject row{{"service", QString::fromStdString(service.Value())}, {"running", owner->Running() != nullptr}};
 		if (const Shard *shard = owner->Running(); shard != nullptr) {
 			row["jobs"] = static_cast<qint64>(shard->Jobs().size());
@@ -88,11 +88,11 @@
 
 std::shared_ptr<ServedRequest> MetricsPage::Serve(CallerSink &sink, CallerRequest)
 {
-	std::string text = "glade_config_version " + std::to_string(this->core.Desk().Config().version) + "\nglade_ready " +
+	std::string text = "glade_config_version " + std::to_string(this->core.Api().Config().version) + "\nglade_ready " +
 					   (this->core.Ready() ? "1" : "0") + "\nglade_config_questions " +
-					   std::to_string(this->core.Configs().Questions()) + "\nglade_configs_from_nodes " +
-					   std::to_string(this->core.Configs().Learned()) + "\n";
-	for (const auto &[service, owner] : this->core.Host().Owners()) {
+					   std::to_string(this->core.Configs().RequestsSent()) + "\nglade_configs_from_nodes " +
+					   std::to_string(this->core.Configs().ConfigsAdopted()) + "\n";
+	for (const auto &[service, owner] : this->core.OwnedShards().Owners()) {
 		const Shard *shard = owner->Running();
 		const std::string label = "{service=\"" + service.Value() + "\"} ";
 		text += "glade_shard_running" + label + (shard == nullptr ? "0" : "1") + "\n";
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr Millis STORE_SEEN_WITHIN(2600); ///< Time without contact to the store after which a node accepts no new
-										  ///< callers. Two polls of a second each may fail.
-constexpr Millis LOOK_EVERY(5000); ///< Interval at which the owner of the fleet is checked while the group does not
-								   ///< assign the fleet to this node.
-constexpr Millis PEERS_EVERY(
+/** Time without contact to the store after which a node accepts no new callers. Two polls of a second each may fail. */
+constexpr Millis STORE_CONTACT_TIMEOUT(2600);
+/** Interval at which the owner of the fleet is checked while the group does not assign the fleet to this node. */
+constexpr Millis FLEET_CHECK_INTERVAL(5000);
+constexpr Millis PEERS_READ_INTERVAL(
 		5000); ///< Interval at which the members of the group are read; they can be asked for the configuration.
-constexpr Millis POOL_WAIT(600); ///< Timeout of the fleet owner's request to the owner of a pool.
+constexpr Millis POOL_ANSWER_TIMEOUT(600); ///< Timeout of the fleet owner's request to the owner of a pool.
 
 template <class Id>
-std::set<Id> SetOf(const std::vector<std::string> &names)
+std::set<Id> IdSetOf(const std::vector<std::string> &names)
 {
 	std::set<Id> out;
 	std::ranges::for_each(names, [&out](const std::string &it) { out.insert(Id(it)); });
@@ -23,14 +23,14 @@
 }
 
 template <class Id>
-std::vector<std::string> NamesOf(const std::set<Id> &ids)
+std::vector<std::string> IdStringsOf(const std::set<Id> &ids)
 {
 	std::vector<std::string> out;
 	std::ranges::transform(ids, std::back_inserter(out), [](const Id &it) { return it.Value(); });
 	return out;
 }
 
-std::set<BoxIncarnation> LivesOf(const glade::wire::PoolQuestionT &in)
+std::set<BoxIncarnation> IncarnationsFromWire(const glade::wire::PoolQuestionT &in)
 {
 	std::set<BoxIncarnation> out;
 	for (size_t n = 0; n < std::min(in.ended.size(), in.ended_started.size()); n++) {
@@ -39,7 +39,7 @@
 	return out;
 }
 
-std::unique_ptr<glade::wire::LoanT> NativeLoan(const ShareLoan &loan)
+std::unique_ptr<glade::wire::LoanT> LoanToWire(const ShareLoan &loan)
 {
 	auto out = std::make_unique<glade::wire::LoanT>();
 	out->ledger_epoch = loan.ledger_epoch;
@@ -58,7 +58,7 @@
  * @param in The loan on the wire, or null.
  * @return The loan; if there is none, one of epoch 0, which no owner accepts.
  */
-ShareLoan LoanOf(const glade::wire::LoanT *in)
+ShareLoan LoanFromWire(const glade::wire::LoanT *in)
 {
 	ShareLoan out;
 	if (in == nullptr) {
@@ -74,7 +74,7 @@
 	return out;
 }
 
-std::unique_ptr<glade::wire::LoanReportT> NativeReport(const ShareReport &report)
+std::unique_ptr<glade::wire::LoanReportT> ReportToWire(const ShareReport &report)
 {
 	auto out = std::make_unique<glade::wire::LoanReportT>();
 	out->owner_epoch = report.owner_epoch;
@@ -94,7 +94,7 @@
  * @param in The report on the wire, or null.
  * @return The report; if there is none, one of epoch 0, which has no effect.
  */
-ShareReport ReportOf(const glade::wire::LoanReportT *in)
+ShareReport ReportFromWire(const glade::wire::LoanReportT *in)
 {
 	ShareReport out;
 	if (in == nullptr) {
@@ -111,12 +111,12 @@
 	return out;
 }
 
-PoolStatus StatusOf(const glade::wire::PoolAnswerT &in)
+PoolStatus StatusFromWire(const glade::wire::PoolAnswerT &in)
 {
 	PoolStatus out;
 	out.waiting_cpu = in.waiting_cpu;
 	out.late_cpu = in.late_cpu;
-	out.shares = ReportOf(in.shares.get());
+	out.shares = ReportFromWire(in.shares.get());
 	std::ranges::transform(in.boxes, std::back_inserter(out.boxes), [](const auto &it) {
 		return PoolBox{BoxName(it->box), BoxIncarnation{BoxId(it->life), Millis(it->started)},
 					   it->tasks,        it->used_cpu,
@@ -128,31 +128,32 @@
 
 } // namespace
 
-NodeCore::NodeCore(Scheduler &scheduler, const NodeLinks &links, const NodeIdentity &self)
-		: scheduler(scheduler), links(links), self(self),
-		  member(scheduler, links.log, links.events,
-				 GroupSpec{NODE_GROUP, GroupPeer{self.frames, self.cpu}, NODE_TOPIC, self.silence, self.partitions}),
-		  host(ShardOwnerContext{scheduler, links.log, links.orders, links.events, self.frames, self.limits,
-								 links.advisor, NODE_GROUP},
-			   this->member, links.feed, self.partitions),
-		  lookup(scheduler, links.log, links.events),
-		  desk(scheduler, links.log, this->host, this->lookup, links.events), peers(scheduler),
-		  configs(scheduler, links.feed, this->peers, links.events, self.frames),
-		  frames([this](FrameLink &link, const MessageUnion &message) { this->OnFrame(link, message); },
-				 [this](FrameLink &link) { this->recording.erase(&link); })
+NodeCore::NodeCore(Scheduler &scheduler, const NodeInterfaces &interfaces, const NodeSpec &self)
+		: scheduler(scheduler), interfaces(interfaces), self(self),
+		  member(scheduler, interfaces.log, interfaces.events,
+				 GroupSpec{NODE_GROUP, GroupPeer{self.frame_address, self.cpu}, NODE_TOPIC, self.group_timeout,
+						   self.partitions}),
+		  shards(ShardOwnerContext{scheduler, interfaces.log, interfaces.orders, interfaces.events, self.frame_address,
+								   self.limits, interfaces.advisor, NODE_GROUP},
+				 this->member, interfaces.feed, self.partitions),
+		  lookup(scheduler, interfaces.log, interfaces.events),
+		  api(scheduler, interfaces.log, this->shards, this->lookup, interfaces.events), peers(scheduler),
+		  configs(scheduler, interfaces.feed, this->peers, interfaces.events, self.frame_address),
+		  frame_server([this](FrameLink &link, const MessageUnion &message) { this->OnFrame(link, message); },
+					   [this](FrameLink &link) { this->awaiting_answer.erase(&link); })
 {
 	this->member.on_answer = [this] { this->OnMembership(); };
 }
 
 bool NodeCore::Start()
 {
-	const std::optional<NetAddress> address = ParseAddress(this->self.frames);
-	if (!address || !this->frames.Listen(*address)) {
+	const std::optional<NetAddress> address = ParseAddress(this->self.frame_address);
+	if (!address || !this->frame_server.Listen(*address)) {
 		return false;
 	}
 	std::ranges::for_each(this->self.seeds, [this](const std::string &it) { this->configs.AddPeer(it); });
 	this->configs.Start();
-	this->links.feed.Start(*this);
+	this->interfaces.feed.Start(*this);
 	this->member.Start();
 	return true;
 }
@@ -161,23 +162,23 @@
 {
 	this->leaving = true;
 	this->ReleaseFleet();
-	this->host.Clear();
+	this->shards.Clear();
 	this->member.Leave(std::move(done));
 }
 
 bool NodeCore::Ready() const
 {
-	const bool reached = this->scheduler.Now() - this->links.feed.CurrentAsOf() <= STORE_SEEN_WITHIN;
-	return !this->leaving && this->desk.Config().version > 0 && reached;
+	const bool store_reached = this->scheduler.Now() - this->interfaces.feed.CurrentAsOf() <= STORE_CONTACT_TIMEOUT;
+	return !this->leaving && this->api.Config().version > 0 && store_reached;
 }
 
-bool NodeCore::FleetDealt() const
+bool NodeCore::FleetAssigned() const
 {
 	/* The last partition represents the fleet. Each service uses the first partition of its even share. */
 	return this->member.Holds(this->self.partitions - 1);
 }
 
-bool NodeCore::FleetWatched() const
+bool NodeCore::FleetMonitored() const
 {
 	/* The watcher holds the partition before the last one, because the partition after it represents a service. */
 	return this->member.Holds((2 * this->self.partitions - 2) % this->self.partitions);
@@ -186,12 +187,12 @@
 void NodeCore::ReadPeers()
 {
 	const Millis now = this->scheduler.Now();
-	if (now - this->peers_read_at < PEERS_EVERY) {
+	if (now - this->peers_read_at < PEERS_READ_INTERVAL) {
 		return;
 	}
 	this->peers_read_at = now;
-	this->links.log.Holders(NODE_GROUP, [this, still = std::weak_ptr<bool>(this->alive)](
-												ResultCode, const std::vector<PartitionHolder> &rows) {
+	this->interfaces.log.Holders(NODE_GROUP, [this, still = std::weak_ptr<bool>(this->alive)](
+													 ResultCode, const std::vector<PartitionHolder> &rows) {
 		if (!still.expired()) {
 			std::ranges::for_each(rows, [this](const PartitionHolder &it) {
 				this->configs.AddPeer(ParseMemberName(it.member).address);
@@ -203,24 +204,24 @@
 void NodeCore::OnMembership()
 {
 	this->ReadPeers();
-	this->host.OnMembership();
-	if (this->desk.Config().version == 0 || this->leaving) {
+	this->shards.OnMembership();
+	if (this->api.Config().version == 0 || this->leaving) {
 		return;
 	}
-	const bool dealt = this->FleetDealt();
-	const bool wanted = dealt || this->FleetWatched();
+	const bool assigned = this->FleetAssigned();
+	const bool wanted = assigned || this->FleetMonitored();
 	if (!this->fleet) {
 		/* The owner is also checked periodically while the fleet is not assigned to this node: the recorded owner may
 		 * be an earlier process of this node. */
 		const Millis now = this->scheduler.Now();
-		const bool look = this->member.HeldRecently() && now - this->fleet_looked_at >= LOOK_EVERY;
-		if (wanted || look) {
-			this->fleet_looked_at = now;
-			this->BeginFleet();
+		const bool check_due = this->member.HeldRecently() && now - this->fleet_checked_at >= FLEET_CHECK_INTERVAL;
+		if (wanted || check_due) {
+			this->fleet_checked_at = now;
+			this->StartFleetOwner();
 		}
 	} else if (!wanted && this->fleet->Waiting()) {
 		this->fleet.reset();
-	} else if (!dealt && this->member.IsStandby()) {
+	} else if (!assigned && this->member.IsStandby()) {
 		this->ReleaseFleet();
 	}
 }
@@ -240,33 +241,33 @@
 	});
 }
 
-void NodeCore::BeginFleet()
+void NodeCore::StartFleetOwner()
 {
-	this->fleet = std::make_unique<FleetOwner>(
-			FleetOwnerContext{this->scheduler, this->links.log, this->links.machines, this->links.reports, *this,
-							  this->links.events, this->self.name, this->self.frames, this->self.turn_gap, NODE_GROUP,
-							  [this] { return this->FleetDealt(); }, [this] { return this->FleetWatched(); }});
+	this->fleet = std::make_unique<FleetOwner>(FleetOwnerContext{
+			this->scheduler, this->interfaces.log, this->interfaces.machines, this->interfaces.reports, *this,
+			this->interfaces.events, this->self.name, this->self.frame_address, this->self.turn_gap, NODE_GROUP,
+			[this] { return this->FleetAssigned(); }, [this] { return this->FleetMonitored(); }});
 	this->fleet->on_lost = [this] {
 		/* Deferred, since the owner must not be destroyed during its own callback. The new owner reads from the record
 		 * whether another node has claimed the fleet. */
 		this->scheduler.After(Millis(0), [this] {
 			this->fleet.reset();
-			this->fleet_looked_at = Millis(-LOOK_EVERY.Value());
+			this->fleet_checked_at = Millis(-FLEET_CHECK_INTERVAL.Value());
 			this->OnMembership();
 		});
 	};
-	this->fleet->Configure(this->desk.Config());
+	this->fleet->Configure(this->api.Config());
 	std::ranges::for_each(this->waves | std::views::values, [this](const WaveOrder &it) { this->fleet->OnWave(it); });
 	this->fleet->Start();
 }
 
 void NodeCore::OnConfig(const JobConfig &config)
 {
-	this->links.events.Write("config", {{"version", std::to_string(config.version)},
-										{"before", std::to_string(this->desk.Config().version)},
-										{"routes", std::to_string(config.routes.size())},
-										{"services", std::to_string(config.services.size())}});
-	this->desk.Configure(config);
+	this->interfaces.events.Write("config", {{"version", std::to_string(config.version)},
+											 {"before", std::to_string(this->api.Config().version)},
+											 {"routes", std::to_string(config.routes.size())},
+											 {"services", std::to_string(config.services.size())}});
+	this->api.Configure(config);
 	if (this->fleet) {
 		this->fleet->Configure(config);
 	}
@@ -274,10 +275,10 @@
 
 void NodeCore::OnWave(const WaveOrder &wave)
 {
-	this->links.events.Write("wave", {{"wave", std::to_string(wave.number)},
-									  {"boxes", std::to_string(wave.boxes.size())},
-									  {"down_max", std::to_string(wave.down_max)},
-									  {"within_ms", std::to_string(wave.within.Value())}});
+	this->interfaces.events.Write("wave", {{"wave", std::to_string(wave.number)},
+										   {"boxes", std::to_string(wave.boxes.size())},
+										   {"down_max", std::to_string(wave.down_max)},
+										   {"within_ms", std::to_string(wave.within.Value())}});
 	this->waves[wave.number] = wave;
 	if (this->fleet) {
 		this->fleet->OnWave(wave);
@@ -286,17 +287,17 @@
 
 void NodeCore::OnReport(const BoxReport &report)
 {
-	this->host.OnReport(report);
+	this->shards.OnReport(report);
 }
 
 void NodeCore::OnReportRemoved(const BoxId &id)
 {
-	this->host.OnReportRemoved(id);
+	this->shards.OnReportRemoved(id);
 }
 
-std::optional<PoolStatus> NodeCore::PoolHere(const ServiceName &service, const PoolRequest &request)
+std::optional<PoolStatus> NodeCore::LocalPoolStatus(const ServiceName &service, const PoolRequest &request)
 {
-	ShardOwner *owner = this->host.Find(service);
+	ShardOwner *owner = this->shards.Find(service);
 	Shard *shard = owner == nullptr ? nullptr : owner->Running();
 	if (shard == nullptr) {
 		return std::nullopt;
@@ -313,18 +314,18 @@
 void NodeCore::Ask(const ServiceName &service, const PoolRequest &request,
 				   std::function<void(std::optional<PoolStatus>)> done)
 {
-	if (std::optional<PoolStatus> here = this->PoolHere(service, request); here) {
-		done(std::move(here));
+	if (std::optional<PoolStatus> local_status = this->LocalPoolStatus(service, request); local_status) {
+		done(std::move(local_status));
 		return;
 	}
-	const auto make = [service, drain = NamesOf(request.drain), due = NamesOf(request.due), ended = request.ended,
-					   loan = request.loan](uint64_t number) {
+	const auto make = [service, drain = IdStringsOf(request.drain), due = IdStringsOf(request.due),
+					   ended = request.ended, loan = request.loan](uint64_t number) {
 		glade::wire::PoolQuestionT out;
 		out.number = number;
 		out.service = service.Value();
 		out.drain = drain;
 		out.due = due;
-		out.loan = NativeLoan(loan);
+		out.loan = LoanToWire(loan);
 		for (const BoxIncarnation &it : ended) {
 			out.ended.push_back(it.id.Value());
 			out.ended_started.push_back(it.started.Value());
@@ -332,10 +333,10 @@
 		return MakeMessage(std::move(out));
 	};
 	this->lookup.Ask(PartitionId{TopicOf(service), PROGRESS_PARTITION}, service.Value(),
-					 this->scheduler.Now() + POOL_WAIT, make,
+					 this->scheduler.Now() + POOL_ANSWER_TIMEOUT, make,
 					 [done = std::move(done)](ResultCode, const MessageUnion *message) {
 						 const auto *in = message == nullptr ? nullptr : message->AsPoolAnswer();
-						 done(in == nullptr ? std::nullopt : std::optional(StatusOf(*in)));
+						 done(in == nullptr ? std::nullopt : std::optional(StatusFromWire(*in)));
 					 });
 }
 
@@ -350,13 +351,13 @@
 	} else if (const auto *config = message.AsConfigQuestion(); config != nullptr) {
 		this->OnConfigQuestion(link, *config);
 	} else {
-		this->links.events.Write("bad_frame", {{"kind", std::to_string(static_cast<int>(message.type))}});
+		this->interfaces.events.Write("bad_frame", {{"kind", std::to_string(static_cast<int>(message.type))}});
 	}
 }
 
 void NodeCore::OnJobQuestion(FrameLink &link, const glade::wire::JobQuestionT &in)
 {
-	const JobAnswer answer = this->desk.AnswerLocally(
+	const JobAnswer answer = this->api.AnswerLocally(
 			JobQuestion{ServiceName(in.service), RouteName(in.route), JobId(in.job), AccountName(in.account)});
 	glade::wire::JobAnswerT out;
 	out.number = in.number;
@@ -374,17 +375,17 @@
 		out.code = static_cast<uint32_t>(code);
 		to.Send(MakeMessage(out));
 	};
-	ShardOwner *owner = this->host.Find(ServiceName(in.service));
+	ShardOwner *owner = this->shards.Find(ServiceName(in.service));
 	if (owner == nullptr || owner->Running() == nullptr || in.key.empty()) {
 		answer(link, ResultCode::RC_PEER_UNAVAILABLE);
 		return;
 	}
 	/* The requesting node keeps waiting as long as it knows that this node is alive. */
 	answer(link, ResultCode::RC_LOG_RECORDING);
-	this->recording.insert(&link);
+	this->awaiting_answer.insert(&link);
 	const std::string value(reinterpret_cast<const char *>(in.value.data()), in.value.size());
 	owner->Accept(KeyedRecord{in.key, value}, [this, to = &link, answer](ResultCode code) {
-		if (this->recording.contains(to)) {
+		if (this->awaiting_answer.contains(to)) {
 			answer(*to, code);
 		}
 	});
@@ -392,10 +393,10 @@
 
 void NodeCore::OnConfigQuestion(FrameLink &link, const glade::wire::ConfigQuestionT &in)
 {
-	this->recording.insert(&link);
+	this->awaiting_answer.insert(&link);
 	this->configs.Answer(ConfigQuestion{in.version, in.confirm},
 						 [this, to = &link, number = in.number](const PeerConfig &answer) {
-							 if (!this->recording.contains(to)) {
+							 if (!this->awaiting_answer.contains(to)) {
 								 return;
 							 }
 							 glade::wire::ConfigAnswerT out;
@@ -409,16 +410,16 @@
 
 void NodeCore::OnPoolQuestion(FrameLink &link, const glade::wire::PoolQuestionT &in)
 {
-	const std::optional<PoolStatus> status =
-			this->PoolHere(ServiceName(in.service), PoolRequest{SetOf<BoxName>(in.drain), SetOf<BoxName>(in.due),
-																LivesOf(in), LoanOf(in.loan.get())});
+	const std::optional<PoolStatus> status = this->LocalPoolStatus(
+			ServiceName(in.service), PoolRequest{IdSetOf<BoxName>(in.drain), IdSetOf<BoxName>(in.due),
+												 IncarnationsFromWire(in), LoanFromWire(in.loan.get())});
 	glade::wire::PoolAnswerT out;
 	out.number = in.number;
 	out.code = static_cast<uint32_t>(status ? ResultCode::RC_OK : ResultCode::RC_PEER_UNAVAILABLE);
 	if (status) {
 		out.waiting_cpu = status->waiting_cpu;
 		out.late_cpu = status->late_cpu;
-		out.shares = NativeReport(status->shares);
+		out.shares = ReportToWire(status->shares);
 		for (const PoolBox &box : status->boxes) {
 			auto row = std::make_unique<glade::wire::PoolBoxT>();
 			row->box = box.box.Value();
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -10,12 +10,13 @@
 #include <list>
 
 /** Identity and parameters of this node. */
-struct NodeIdentity {
-	std::string name;   ///< Name of this process, unique among the nodes.
-	std::string frames; ///< IP:port of the frame server for other nodes; also part of the member name in the group.
-	int64_t cpu = 0;    ///< CPU limit of this node, in thousandths of a core.
+struct NodeSpec {
+	std::string name; ///< Name of this process, unique among the nodes.
+	/** IP:port of the frame server for other nodes; also part of the member name in the group. */
+	std::string frame_address;
+	int64_t cpu = 0;         ///< CPU limit of this node, in thousandths of a core.
 	uint32_t partitions = 1; ///< Number of partitions of a topic.
-	Millis silence;          ///< Time without contact after which a node loses its shards.
+	Millis group_timeout;    ///< Time without contact after which a node loses its shards.
 	ShardLimits limits;      ///< Limits of shards.
 	Millis turn_gap;         ///< Minimum time between the orders to machines of two successive fleet owners.
 	/** IP:port of the frame servers of some other nodes; some of them may no longer exist. */
@@ -23,7 +24,7 @@
 };
 
 /** External interfaces of a node. All of them outlive the node. */
-struct NodeLinks {
+struct NodeInterfaces {
 	KeyedLog &log;                       ///< The store.
 	BoxOrders &orders;                   ///< Orders to boxes.
 	SiteFeed &feed;                      ///< Configuration, maintenance waves and box reports.
@@ -41,7 +42,7 @@
 	 * @param links External interfaces.
 	 * @param self Identity and parameters of this node.
 	 */
-	NodeCore(Scheduler &scheduler, const NodeLinks &links, const NodeIdentity &self);
+	NodeCore(Scheduler &scheduler, const NodeInterfaces &interfaces, const NodeSpec &self);
 
 	/**
 	 * Starts the node.
@@ -73,35 +74,35 @@
 
 	/** @return Exchange of configurations with other nodes. */
 	[[nodiscard]] const ConfigExchange &Configs() const { return this->configs; }
-	JobApi &Desk() { return this->desk; }                              ///< Operations on jobs for callers.
-	[[nodiscard]] const ShardHost &Host() const { return this->host; } ///< Shards owned by this node.
-	[[nodiscard]] const JobApi &Desk() const { return this->desk; }    ///< Operations on jobs for callers.
+	JobApi &Api() { return this->api; }                                         ///< Operations on jobs for callers.
+	[[nodiscard]] const ShardHost &OwnedShards() const { return this->shards; } ///< Shards owned by this node.
+	[[nodiscard]] const JobApi &Api() const { return this->api; }               ///< Operations on jobs for callers.
 
 private:
 	Scheduler &scheduler;                             ///< Clock and timers.
-	NodeLinks links;                                  ///< External interfaces.
-	NodeIdentity self;                                ///< Identity and parameters of this node.
+	NodeInterfaces interfaces;                        ///< External interfaces.
+	NodeSpec self;                                    ///< Identity and parameters of this node.
 	GroupMember member;                               ///< Membership in the group of nodes.
-	ShardHost host;                                   ///< Shards owned by this node.
+	ShardHost shards;                                 ///< Shards owned by this node.
 	OwnerLookup lookup;                               ///< Requests to owners on other nodes.
-	JobApi desk;                                      ///< Operations on jobs for callers.
-	FramePeers peers;                                 ///< Transport for configuration requests to other nodes.
+	JobApi api;                                       ///< Operations on jobs for callers.
+	FrameConfigPeers peers;                           ///< Transport for configuration requests to other nodes.
 	ConfigExchange configs;                           ///< Exchange of configurations with other nodes.
 	Millis peers_read_at{-1000000};                   ///< Time at which the members of the group were last read.
-	FrameServer frames;                               ///< Server for requests of other nodes.
-	std::set<FrameLink *> recording;                  ///< Open connections on which an answer may still be sent.
+	FrameServer frame_server;                         ///< Server for requests of other nodes.
+	std::set<FrameLink *> awaiting_answer;            ///< Open connections on which an answer may still be sent.
 	bool leaving = false;                             ///< Whether Leave() was called.
 	std::map<uint64_t, WaveOrder> waves;              ///< Maintenance waves, by number.
 	std::unique_ptr<FleetOwner> fleet;                ///< Set while this node owns the fleet or waits to claim it.
-	Millis fleet_looked_at{-1000000};                 ///< Time at which the owner of the fleet was last checked.
+	Millis fleet_checked_at{-1000000};                ///< Time at which the owner of the fleet was last checked.
 	std::list<std::unique_ptr<FleetOwner>> releasing; ///< Former fleet owners whose release is being recorded.
-	std::shared_ptr<bool> alive =
-			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
+	/** Lets callbacks detect that this object was destroyed. */
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-	[[nodiscard]] bool FleetDealt() const;
-	[[nodiscard]] bool FleetWatched() const;
+	[[nodiscard]] bool FleetAssigned() const;
+	[[nodiscard]] bool FleetMonitored() const;
 	void OnMembership();
-	void BeginFleet();
+	void StartFleetOwner();
 	void ReleaseFleet();
 	void OnFrame(FrameLink &link, const MessageUnion &message);
 	void OnJobQuestion(FrameLink &link, const glade::wire::JobQuestionT &in);
@@ -109,7 +110,7 @@
 	void OnRecordQuestion(FrameLink &link, const glade::wire::RecordQuestionT &in);
 	void OnConfigQuestion(FrameLink &link, const glade::wire::ConfigQuestionT &in);
 	void ReadPeers();
-	std::optional<PoolStatus> PoolHere(const ServiceName &service, const PoolRequest &request);
+	std::optional<PoolStatus> LocalPoolStatus(const ServiceName &service, const PoolRequest &request);
 };
 
 #endif /* NODE_CORE_H */
--- a/src/node/owner_lookup.h
+++ b/src/node/owner_lookup.h
@@ -18,17 +18,17 @@
 
 /** Answer to a JobQuestion. */
 struct JobAnswer {
-	ResultCode code =
-			ResultCode::RC_PEER_UNAVAILABLE; ///< RC_OK, RC_UNKNOWN_JOB, RC_OTHER_ACCOUNT or RC_PEER_UNAVAILABLE.
-	JobPhase phase = JobPhase::JP_QUEUED;    ///< State of the job.
-	uint32_t waiting = 0;                    ///< Number of waiting jobs of the route.
+	/** RC_OK, RC_UNKNOWN_JOB, RC_OTHER_ACCOUNT or RC_PEER_UNAVAILABLE. */
+	ResultCode code = ResultCode::RC_PEER_UNAVAILABLE;
+	JobPhase phase = JobPhase::JP_QUEUED; ///< State of the job.
+	uint32_t waiting = 0;                 ///< Number of waiting jobs of the route.
 };
 
 /** Finds the owners of shards and sends them requests. */
 class OwnerLookup {
 public:
 	/** Builds the frame of a request with the given number. */
-	using Make = std::function<MessageUnion(uint64_t number)>;
+	using MakeRequest = std::function<MessageUnion(uint64_t number)>;
 	/** Called with the result code and the answer's frame; the frame is null if no owner answered in time. */
 	using Done = std::function<void(ResultCode, const MessageUnion *)>;
 
@@ -49,7 +49,7 @@
 	 * RC_PEER_UNAVAILABLE if none was sent.
 	 * @param recording_until New deadline once an owner reports that it is recording.
 	 */
-	void Ask(const PartitionId &shard, const std::string &what, Millis deadline, Make make, Done done,
+	void Ask(const PartitionId &shard, const std::string &subject, Millis deadline, MakeRequest make, Done done,
 			 Millis recording_until = Millis(0));
 
 	/**
@@ -58,7 +58,7 @@
 	 * @param shard Partition that holds the shard's progress.
 	 * @return Whether the connection to the node of a known owner is up.
 	 */
-	[[nodiscard]] bool Ready(const PartitionId &shard);
+	[[nodiscard]] bool OwnerConnected(const PartitionId &shard);
 	/**
 	 * @param shard Partition that holds the shard's progress.
 	 * @return IP:port of the last known owner's node; empty if none is known.
@@ -71,70 +71,70 @@
 
 private:
 	/** A request in progress. */
-	struct Open {
-		PartitionId shard;      ///< Partition that holds the shard's progress.
-		std::string what;       ///< Subject of the request, for the event log.
-		Millis deadline;        ///< Time at which the request is given up.
-		Make make;              ///< Builds the request.
-		Done done;              ///< Called with the answer.
-		std::string asked;      ///< IP:port of the node that was asked last; empty if none.
-		Millis recording_until; ///< New deadline once an owner reports that it is recording.
-		bool recording = false; ///< Whether an owner has reported that it is recording.
-		bool probed = false;    ///< Whether a probe was sent to the recording node since it was last heard.
-		Millis checked_at;      ///< Start of the current wait for any message from the recording node.
-		bool sent = false;      ///< Whether the last request was sent and not answered.
-		Millis sent_at;         ///< Time of the last attempt to send.
-		bool lost = false;      ///< Whether an earlier request got no answer and may still be executed.
-		TimerId timer;          ///< Timer of the next attempt.
+	struct PendingRequest {
+		PartitionId shard;               ///< Partition that holds the shard's progress.
+		std::string subject;             ///< Subject of the request, for the event log.
+		Millis deadline;                 ///< Time at which the request is given up.
+		MakeRequest make;                ///< Builds the request.
+		Done done;                       ///< Called with the answer.
+		std::string asked_node;          ///< IP:port of the node that was asked last; empty if none.
+		Millis recording_until;          ///< New deadline once an owner reports that it is recording.
+		bool recording = false;          ///< Whether an owner has reported that it is recording.
+		bool probed = false;             ///< Whether a probe was sent to the recording node since it was last heard.
+		Millis wait_started_at;          ///< Start of the current wait for any message from the recording node.
+		bool sent = false;               ///< Whether the last request was sent and not answered.
+		Millis sent_at;                  ///< Time of the last attempt to send.
+		bool earlier_unanswered = false; ///< Whether an earlier request got no answer and may still be executed.
+		TimerId timer;                   ///< Timer of the next attempt.
 	};
 
 	/** Connection to a node that owns shards. */
 	struct Peer {
 		std::unique_ptr<FrameClient> client; ///< The connection.
-		Millis made_at;                      ///< Time at which the connection was created.
-		Millis heard_at{-1000000};           ///< Time of the last message from the node.
+		Millis created_at;                   ///< Time at which the connection was created.
+		Millis last_heard_at{-1000000};      ///< Time of the last message from the node.
 		/** Answer timeout, adapted to the duration of past answers. With a fixed one, a slow node would receive each
 		 * request several times, each over a new connection, and its answers would be lost with the closed connections.
 		 */
-		Millis patience;
+		Millis answer_timeout;
 	};
 
 	/** Last known owner of a shard. */
 	struct KnownOwner {
-		std::string address;       ///< IP:port of the owner's node; empty if not known.
-		bool asking = false;       ///< Whether a read of the owner's record is in progress.
-		Millis asked_at{-1000000}; ///< Time at which the last read of the owner's record began.
+		std::string address;      ///< IP:port of the owner's node; empty if not known.
+		bool reading = false;     ///< Whether a read of the owner's record is in progress.
+		Millis read_at{-1000000}; ///< Time at which the last read of the owner's record began.
 	};
 
-	Scheduler &scheduler;                     ///< Clock and timers.
-	KeyedLog &log;                            ///< The log, which has the records of owners.
-	EventLog &events;                         ///< Event log.
-	std::map<PartitionId, KnownOwner> owners; ///< Known owners by shard.
-	std::map<std::string, Peer> peers;        ///< Connections by the node's address.
-	std::map<uint64_t, Open> open;            ///< Requests in progress, by number.
-	uint64_t last_number = 0;                 ///< Number of the last request.
-	std::shared_ptr<bool> alive =
-			std::make_shared<bool>(true); ///< Lets callbacks detect that this object was destroyed.
+	Scheduler &scheduler;                       ///< Clock and timers.
+	KeyedLog &log;                              ///< The log, which has the records of owners.
+	EventLog &events;                           ///< Event log.
+	std::map<PartitionId, KnownOwner> owners;   ///< Known owners by shard.
+	std::map<std::string, Peer> peers;          ///< Connections by the node's address.
+	std::map<uint64_t, PendingRequest> pending; ///< Requests in progress, by number.
+	uint64_t last_number = 0;                   ///< Number of the last request.
+	/** Lets callbacks detect that this object was destroyed. */
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
 	void Try(uint64_t number);
-	void Again(uint64_t number);
-	void CheckNode(uint64_t number, Open &question);
+	void ScheduleRetry(uint64_t number);
+	void CheckNode(uint64_t number, PendingRequest &question);
 	void Probe(const std::string &address);
 	/**
 	 * Gives up on a node that has not answered: drops a dead connection and looks the owner up again.
 	 * @param question The request that the node has not answered.
 	 * @param since Start of the wait for the answer.
 	 */
-	void GiveUpNode(Open &question, Millis since);
-	void Refresh(const PartitionId &shard);
+	void AbandonNode(PendingRequest &question, Millis since);
+	void RefreshOwner(const PartitionId &shard);
 	void ReadOwner(const PartitionId &shard, const PartitionId &from);
-	void OnOwner(const PartitionId &shard, const PartitionId &from, const NewestPage &page);
+	void OnOwnerRead(const PartitionId &shard, const PartitionId &from, const NewestPage &page);
 	void Send(uint64_t number);
 	void OnFrame(const MessageUnion &message);
 	void Finish(uint64_t number, ResultCode code, const MessageUnion *answer);
 	Peer &PeerOf(const std::string &address);
-	[[nodiscard]] Millis PatienceWith(const std::string &address);
-	void NoteAnswer(const Open &question);
+	[[nodiscard]] Millis AnswerTimeoutOf(const std::string &address);
+	void UpdateAnswerTimeout(const PendingRequest &question);
 };
 
 #endif /* OWNER_LOOKUP_H */
--- a/src/node/shard_host.cpp
+++ b/src/node/shard_host.cpp
@@ -9,12 +9,12 @@
 
 /** Minimum number of shards that a node keeps although they are assigned to others. A smaller number causes more
  * handovers; a larger one leaves more shards without an owner when the node fails. */
-constexpr size_t KEEP_AT_LEAST = 2;
-constexpr size_t GONE_KEPT =
-		300; ///< Last reports kept of former incarnations of agents: those of a minute in which all boxes move.
+constexpr size_t KEPT_SHARDS_MIN = 2;
+/** Last reports kept of former incarnations of agents: those of a minute in which all boxes move. */
+constexpr size_t LAST_REPORTS_KEPT = 300;
 /** Interval at which the owners of shards that are not assigned to this node are checked. An earlier process of this
  * node may be the recorded owner, and other nodes wait as long as the record names a live node. */
-constexpr Millis LOOK_EVERY(5000);
+constexpr Millis OWNER_CHECK_INTERVAL(5000);
 
 } // namespace
 
@@ -35,7 +35,7 @@
 	return static_cast<uint32_t>(place * partitions / names.size());
 }
 
-uint32_t WatcherOf(uint32_t part, uint32_t partitions)
+uint32_t MonitorPartitionOf(uint32_t part, uint32_t partitions)
 {
 	return (part + 1) % partitions;
 }
@@ -52,18 +52,18 @@
 	this->OnMembership();
 }
 
-bool ShardHost::Dealt(const ServiceName &service) const
+bool ShardHost::Assigned(const ServiceName &service) const
 {
 	const std::optional<uint32_t> part = PartitionOf(this->config, service, this->partitions);
 	return part && this->member.Holds(*part);
 }
 
-bool ShardHost::Watched(const ServiceName &service) const
+bool ShardHost::Monitored(const ServiceName &service) const
 {
 	const std::optional<uint32_t> part = PartitionOf(this->config, service, this->partitions);
 	/* A node that owns a shard does not watch another, so that it does not come to own two. With 1,100 boxes, a node
 	 * with two shards fell 12 s behind during a load peak. */
-	return part && this->member.Holds(WatcherOf(*part, this->partitions)) && this->Claimed() == 0;
+	return part && this->member.Holds(MonitorPartitionOf(*part, this->partitions)) && this->Claimed() == 0;
 }
 
 size_t ShardHost::Claimed() const
@@ -72,11 +72,11 @@
 			std::ranges::count_if(this->owners | std::views::values, [](const auto &it) { return it->Claimed(); }));
 }
 
-size_t ShardHost::KeepMost() const
+size_t ShardHost::KeptShardsMax() const
 {
 	const auto services = std::ranges::count(this->config.services, false, &JobService::reserve);
 	const size_t share = static_cast<size_t>(services) * this->member.Count() / this->partitions;
-	return std::max(KEEP_AT_LEAST, share + 1);
+	return std::max(KEPT_SHARDS_MIN, share + 1);
 }
 
 void ShardHost::OnMembership()
@@ -86,19 +86,19 @@
 	}
 	size_t owned = this->Claimed();
 	const Millis now = this->parts.scheduler.Now();
-	const bool look = this->member.HeldRecently() && now - this->looked_at >= LOOK_EVERY;
-	this->looked_at = look && !this->config.services.empty() ? now : this->looked_at;
+	const bool check_due = this->member.HeldRecently() && now - this->owners_checked_at >= OWNER_CHECK_INTERVAL;
+	this->owners_checked_at = check_due && !this->config.services.empty() ? now : this->owners_checked_at;
 	for (const JobService &service : this->config.services) {
-		const bool dealt = this->Dealt(service.name);
-		const bool wanted = dealt || this->Watched(service.name);
+		const bool assigned = this->Assigned(service.name);
+		const bool wanted = assigned || this->Monitored(service.name);
 		const auto it = this->owners.find(service.name);
 		if (it == this->owners.end()) {
-			if (wanted || (look && !service.reserve)) {
-				this->Begin(service.name);
+			if (wanted || (check_due && !service.reserve)) {
+				this->StartOwner(service.name);
 			}
 		} else if (!wanted && it->second->Waiting()) {
 			this->owners.erase(it);
-		} else if (!dealt && it->second->Claimed() && (this->member.IsStandby() || owned > this->KeepMost())) {
+		} else if (!assigned && it->second->Claimed() && (this->member.IsStandby() || owned > this->KeptShardsMax())) {
 			/* A member that the group missed only briefly keeps its shards: a new owner would have to claim them first.
 			 */
 			this->parts.events.Write("shard_handed_over", {{"service", service.name.Value()}});
@@ -108,32 +108,32 @@
 	}
 	/* Nodes that may have to take over a shard keep the box reports in memory: a new owner can't place anything without
 	 * them. */
-	const bool watch = !this->owners.empty() || this->member.HeldRecently();
-	this->feed.WatchBoxes(watch);
-	if (!watch) {
+	const bool reports_needed = !this->owners.empty() || this->member.HeldRecently();
+	this->feed.WatchBoxes(reports_needed);
+	if (!reports_needed) {
 		this->reports.clear();
-		this->gone.clear();
+		this->last_reports.clear();
 	}
 }
 
-void ShardHost::Begin(const ServiceName &service)
+void ShardHost::StartOwner(const ServiceName &service)
 {
 	auto owner = std::make_unique<ShardOwner>(
-			this->parts, service, [this, service] { return this->Dealt(service); },
-			[this, service] { return this->Watched(service); });
+			this->parts, service, [this, service] { return this->Assigned(service); },
+			[this, service] { return this->Monitored(service); });
 	owner->on_lost = [this, service] {
 		/* Deferred, since the owner must not be destroyed during its own callback. The new owner reads from the record
 		 * whether another node has claimed the shard. */
 		this->parts.scheduler.After(Millis(0), [this, service] {
 			if (!this->stopped) {
 				this->owners.erase(service);
-				this->Begin(service);
+				this->StartOwner(service);
 			}
 		});
 	};
 	owner->Configure(this->config);
 	std::ranges::for_each(this->reports | std::views::values, [&owner](const BoxReport &it) { owner->OnReport(it); });
-	std::ranges::for_each(this->gone, [&owner](const BoxReport &it) { owner->NoteRemovedReport(it); });
+	std::ranges::for_each(this->last_reports, [&owner](const BoxReport &it) { owner->NoteRemovedReport(it); });
 	owner->Start();
 	this->owners.emplace(service, std::move(owner));
 }
@@ -153,24 +153,24 @@
 {
 	const auto known = this->reports.find(report.incarnation.id);
 	if (known != this->reports.end() && known->second.incarnation != report.incarnation) {
-		this->KeepGone(known->second);
+		this->KeepLastReport(known->second);
 	}
 	this->reports[report.incarnation.id] = report;
 	std::ranges::for_each(this->owners | std::views::values, [&report](const auto &it) { it->OnReport(report); });
 }
 
-void ShardHost::KeepGone(const BoxReport &report)
+void ShardHost::KeepLastReport(const BoxReport &report)
 {
-	this->gone.push_back(report);
-	while (this->gone.size() > GONE_KEPT) {
-		this->gone.pop_front();
+	this->last_reports.push_back(report);
+	while (this->last_reports.size() > LAST_REPORTS_KEPT) {
+		this->last_reports.pop_front();
 	}
 }
 
 void ShardHost::OnReportRemoved(const BoxId &id)
 {
 	if (const auto it = this->reports.find(id); it != this->reports.end()) {
-		this->KeepGone(it->second);
+		this->KeepLastReport(it->second);
 		this->reports.erase(it);
 	}
 	std::ranges::for_each(this->owners | std::views::values, [&id](const auto &it) { it->OnReportRemoved(id); });
--- a/src/node/shard_host.h
+++ b/src/node/shard_host.h
@@ -29,7 +29,7 @@
  * @param partitions Number of partitions of the topic.
  * @return Number of the partition.
  */
-uint32_t WatcherOf(uint32_t part, uint32_t partitions);
+uint32_t MonitorPartitionOf(uint32_t part, uint32_t partitions);
 
 /** Claims the shards that the group assigns to this node once their previous owners are gone, and owns them while this
  * node is a member of the group. */
@@ -83,19 +83,20 @@
 	uint32_t partitions;                ///< Number of partitions of the topic.
 	JobConfig config;                   ///< The configuration in force.
 	std::map<BoxId, BoxReport> reports; ///< Current box reports, by agent id.
-	std::deque<BoxReport> gone; ///< Last reports of incarnations of agents that have no report any more, oldest first.
-	std::map<ServiceName, std::unique_ptr<ShardOwner>>
-			owners;             ///< Shards that are owned, being claimed or waited for, by service.
-	Millis looked_at{-1000000}; ///< Time at which the owners of all services were last checked.
+	/** Last reports of incarnations of agents that have no report any more, oldest first. */
+	std::deque<BoxReport> last_reports;
+	/** Shards that are owned, being claimed or waited for, by service. */
+	std::map<ServiceName, std::unique_ptr<ShardOwner>> owners;
+	Millis owners_checked_at{-1000000};                 ///< Time at which the owners of all services were last checked.
 	std::vector<std::unique_ptr<ShardOwner>> releasing; ///< Shards being released.
 	bool stopped = false;                               ///< Whether Clear() was called.
 
-	void KeepGone(const BoxReport &report);
-	[[nodiscard]] bool Dealt(const ServiceName &service) const;
-	[[nodiscard]] bool Watched(const ServiceName &service) const;
+	void KeepLastReport(const BoxReport &report);
+	[[nodiscard]] bool Assigned(const ServiceName &service) const;
+	[[nodiscard]] bool Monitored(const ServiceName &service) const;
 	[[nodiscard]] size_t Claimed() const;
-	[[nodiscard]] size_t KeepMost() const;
-	void Begin(const ServiceName &service);
+	[[nodiscard]] size_t KeptShardsMax() const;
+	void StartOwner(const ServiceName &service);
 	void Release(const ServiceName &service);
 };
 
