--- a/src/node/config_peers.cpp
+++ b/src/node/config_peers.cpp
@@ -19,9 +19,9 @@
 			}
 		};
 		client->on_up = [this, address] {
-			for (auto &[number, question] : this->pending) {
-				if (question.address == address && !question.sent) {
-					this->Send(number, question);
+			for (auto &[number, request] : this->pending) {
+				if (request.address == address && !request.sent) {
+					this->Send(number, request);
 				}
 			}
 		};
@@ -59,14 +59,14 @@
 	}
 }
 
-void FrameConfigPeers::Send(uint64_t number, PendingRequest &question)
+void FrameConfigPeers::Send(uint64_t number, PendingRequest &request)
 {
 	glade::wire::ConfigQuestionT out;
 	out.number = number;
-	out.version = question.content.version;
-	out.confirm = question.content.confirm;
-	question.sent = true;
-	this->ClientFor(question.address).Send(MakeMessage(out));
+	out.version = request.content.version;
+	out.confirm = request.content.confirm;
+	request.sent = true;
+	this->ClientFor(request.address).Send(MakeMessage(out));
 }
 
 void FrameConfigPeers::OnAnswer(const glade::wire::ConfigAnswerT &in)
--- a/src/node/config_peers.h
+++ b/src/node/config_peers.h
@@ -33,7 +33,7 @@
 
 	FrameClient &ClientFor(const std::string &address);
 	void DropExpired();
-	void Send(uint64_t number, PendingRequest &question);
+	void Send(uint64_t number, PendingRequest &request);
 	void OnAnswer(const glade::wire::ConfigAnswerT &in);
 };
 
--- a/src/node/inbox_writer.h
+++ b/src/node/inbox_writer.h
@@ -1,5 +1,4 @@
-/** @file inbox_writer.h Appends callers' records to the inbox partition of one shard while its owner can't be reached.
- */
+/** @file inbox_writer.h Appends callers' records to the inbox of a shard while its owner can't be reached. */
 #ifndef INBOX_WRITER_H
 #define INBOX_WRITER_H
 
--- a/src/node/job_api.cpp
+++ b/src/node/job_api.cpp
@@ -18,8 +18,8 @@
 
 } // namespace
 
-JobApi::JobApi(Scheduler &scheduler, KeyedLog &log, ShardHost &host, OwnerLookup &lookup, EventLog &events)
-		: scheduler(scheduler), log(log), host(host), lookup(lookup), events(events)
+JobApi::JobApi(Scheduler &scheduler, KeyedLog &log, ShardHost &shards, OwnerLookup &lookup, EventLog &events)
+		: scheduler(scheduler), log(log), shards(shards), lookup(lookup), events(events)
 {
 }
 
@@ -27,7 +27,7 @@
 {
 	if (config.version > this->config.version) {
 		this->config = config;
-		this->host.Configure(config);
+		this->shards.Configure(config);
 	}
 }
 
@@ -55,7 +55,7 @@
 																		   : ResultCode::RC_LOG_UNAVAILABLE);
 							  }
 						  });
-	ShardOwner *owner = this->host.Find(pending->service);
+	ShardOwner *owner = this->shards.Find(pending->service);
 	if (owner != nullptr && owner->Running() != nullptr) {
 		pending->uncertain = true;
 		owner->Accept(pending->record, [this, pending, still = std::weak_ptr<bool>(this->alive)](ResultCode code) {
@@ -160,7 +160,7 @@
 
 JobAnswer JobApi::AnswerLocally(const JobQuestion &question) const
 {
-	const ShardOwner *owner = this->host.Find(question.service);
+	const ShardOwner *owner = this->shards.Find(question.service);
 	const Shard *shard = owner == nullptr ? nullptr : owner->Running();
 	if (shard == nullptr) {
 		return JobAnswer{};
--- a/src/node/job_api.h
+++ b/src/node/job_api.h
@@ -15,11 +15,11 @@
 	/**
 	 * @param scheduler Clock and timers.
 	 * @param log The log; outlives this object.
-	 * @param host Shards owned by this node; outlives this object.
+	 * @param shards Shards owned by this node; outlives this object.
 	 * @param lookup Requests to owners on other nodes; outlives this object.
 	 * @param events Event log; outlives this object.
 	 */
-	JobApi(Scheduler &scheduler, KeyedLog &log, ShardHost &host, OwnerLookup &lookup, EventLog &events);
+	JobApi(Scheduler &scheduler, KeyedLog &log, ShardHost &shards, OwnerLookup &lookup, EventLog &events);
 
 	/**
 	 * Applies a configuration.
@@ -77,7 +77,7 @@
 
 	Scheduler &scheduler; ///< Clock and timers.
 	KeyedLog &log;        ///< The log.
-	ShardHost &host;      ///< Shards owned by this node.
+	ShardHost &shards;    ///< Shards owned by this node.
 	OwnerLookup &lookup;  ///< Requests to owners on other nodes.
 	EventLog &events;     ///< Event log.
 	JobConfig config;     ///< The configuration in force.
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -10,8 +10,8 @@
 constexpr Millis STORE_CONTACT_TIMEOUT(2600);
 /** Interval at which the owner of the fleet is checked while the group does not assign the fleet to this node. */
 constexpr Millis FLEET_CHECK_INTERVAL(5000);
-constexpr Millis PEERS_READ_INTERVAL(
-		5000); ///< Interval at which the members of the group are read; they can be asked for the configuration.
+/** Interval at which the members of the group are read; they can be asked for the configuration. */
+constexpr Millis PEERS_READ_INTERVAL(5000);
 constexpr Millis POOL_ANSWER_TIMEOUT(600); ///< Timeout of the fleet owner's request to the owner of a pool.
 
 template <class Id>
@@ -180,7 +180,8 @@
 
 bool NodeCore::FleetMonitored() const
 {
-	/* The watcher holds the partition before the last one, because the partition after it represents a service. */
+	/* The monitoring member holds the partition before the last one, because the partition after it represents a
+	 * service. */
 	return this->member.Holds((2 * this->self.partitions - 2) % this->self.partitions);
 }
 
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -1,5 +1,4 @@
-/** @file node_core.h A node: its group membership, the shards that it owns, and its answers to callers and other nodes.
- */
+/** @file node_core.h A node: its group membership, its shards, and its answers to callers and other nodes. */
 #ifndef NODE_CORE_H
 #define NODE_CORE_H
 
@@ -11,7 +10,7 @@
 
 /** Identity and parameters of this node. */
 struct NodeSpec {
-	std::string name; ///< Name of this process, unique among the nodes.
+	std::string name; ///< Name of this process.
 	/** IP:port of the frame server for other nodes; also part of the member name in the group. */
 	std::string frame_address;
 	int64_t cpu = 0;         ///< CPU limit of this node, in thousandths of a core.
@@ -39,7 +38,7 @@
 public:
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param links External interfaces.
+	 * @param interfaces External interfaces.
 	 * @param self Identity and parameters of this node.
 	 */
 	NodeCore(Scheduler &scheduler, const NodeInterfaces &interfaces, const NodeSpec &self);
--- a/src/node/owner_lookup.cpp
+++ b/src/node/owner_lookup.cpp
@@ -46,14 +46,14 @@
 					  Done done, Millis recording_until)
 {
 	const uint64_t number = ++this->last_number;
-	PendingRequest question;
-	question.shard = shard;
-	question.subject = subject;
-	question.deadline = deadline;
-	question.make = std::move(make);
-	question.done = std::move(done);
-	question.recording_until = recording_until;
-	this->pending.emplace(number, std::move(question));
+	PendingRequest request;
+	request.shard = shard;
+	request.subject = subject;
+	request.deadline = deadline;
+	request.make = std::move(make);
+	request.done = std::move(done);
+	request.recording_until = recording_until;
+	this->pending.emplace(number, std::move(request));
 	this->Try(number);
 }
 
@@ -108,19 +108,19 @@
 	});
 }
 
-void OwnerLookup::CheckNode(uint64_t number, PendingRequest &question)
+void OwnerLookup::CheckNode(uint64_t number, PendingRequest &request)
 {
-	const bool heard = this->PeerOf(question.asked_node).last_heard_at >= question.wait_started_at;
-	if (!heard && question.probed) {
-		question.recording = question.probed = false;
-		this->AbandonNode(question, question.wait_started_at);
+	const bool heard = this->PeerOf(request.asked_node).last_heard_at >= request.wait_started_at;
+	if (!heard && request.probed) {
+		request.recording = request.probed = false;
+		this->AbandonNode(request, request.wait_started_at);
 		this->Try(number);
 		return;
 	}
-	question.wait_started_at = this->scheduler.Now();
-	question.probed = !heard;
-	if (question.probed) {
-		this->Probe(question.asked_node);
+	request.wait_started_at = this->scheduler.Now();
+	request.probed = !heard;
+	if (request.probed) {
+		this->Probe(request.asked_node);
 	}
 	this->ScheduleRetry(number);
 }
@@ -134,18 +134,18 @@
 	this->PeerOf(address).client->Send(MakeMessage(std::move(out)));
 }
 
-void OwnerLookup::AbandonNode(PendingRequest &question, Millis since)
+void OwnerLookup::AbandonNode(PendingRequest &request, Millis since)
 {
 	/* Either the node is gone, another node owns the shard by now, or the connection is dead. A connection that is
 	 * newer than the wait, or that delivered something since, is kept: other requests wait for answers on it. */
-	Peer &peer = this->PeerOf(question.asked_node);
+	Peer &peer = this->PeerOf(request.asked_node);
 	if (peer.created_at <= since && peer.last_heard_at < since) {
 		peer.answer_timeout = std::min(peer.answer_timeout + peer.answer_timeout, ANSWER_TIMEOUT_MAX);
 		peer.client.reset();
 	}
-	question.asked_node.clear();
-	question.earlier_unanswered = question.earlier_unanswered || question.sent;
-	this->RefreshOwner(question.shard);
+	request.asked_node.clear();
+	request.earlier_unanswered = request.earlier_unanswered || request.sent;
+	this->RefreshOwner(request.shard);
 }
 
 void OwnerLookup::RefreshOwner(const PartitionId &shard)
@@ -234,11 +234,11 @@
 	return peer.client->Up() ? peer.answer_timeout : ANSWER_TIMEOUT_MIN;
 }
 
-void OwnerLookup::UpdateAnswerTimeout(const PendingRequest &question)
+void OwnerLookup::UpdateAnswerTimeout(const PendingRequest &request)
 {
-	if (question.sent && !question.asked_node.empty()) {
-		const int64_t took = (this->scheduler.Now() - question.sent_at).Value();
-		this->PeerOf(question.asked_node).answer_timeout =
+	if (request.sent && !request.asked_node.empty()) {
+		const int64_t took = (this->scheduler.Now() - request.sent_at).Value();
+		this->PeerOf(request.asked_node).answer_timeout =
 				std::clamp(Millis(took * ANSWER_TIMEOUT_FACTOR), ANSWER_TIMEOUT_MIN, ANSWER_TIMEOUT_MAX);
 	}
 }
@@ -280,8 +280,7 @@
 	if (code == ResultCode::RC_LOG_RECORDING) {
 		it->second.recording = true;
 		it->second.probed = false;
-		it->second.wait_started_at = this->scheduler.Now() + Millis(1); /* Later than this answer, so that only a
-																		 * further message counts. */
+		it->second.wait_started_at = this->scheduler.Now() + Millis(1); /* Only later messages count. */
 		it->second.deadline = std::max(it->second.deadline, it->second.recording_until);
 		this->ScheduleRetry(number);
 		return;
--- a/src/node/owner_lookup.h
+++ b/src/node/owner_lookup.h
@@ -42,7 +42,7 @@
 	/**
 	 * Sends a request, repeatedly if necessary, until an owner answers or the deadline passes.
 	 * @param shard Partition that holds the shard's progress and the record of its owner.
-	 * @param what Subject of the request, for the event log.
+	 * @param subject Subject of the request, for the event log.
 	 * @param deadline Time at which the request is given up.
 	 * @param make Builds the request.
 	 * @param done Called with the answer; RC_OUTCOME_UNKNOWN if a request was sent and not answered,
@@ -118,14 +118,14 @@
 
 	void Try(uint64_t number);
 	void ScheduleRetry(uint64_t number);
-	void CheckNode(uint64_t number, PendingRequest &question);
+	void CheckNode(uint64_t number, PendingRequest &request);
 	void Probe(const std::string &address);
 	/**
 	 * Gives up on a node that has not answered: drops a dead connection and looks the owner up again.
-	 * @param question The request that the node has not answered.
+	 * @param request The request that the node has not answered.
 	 * @param since Start of the wait for the answer.
 	 */
-	void AbandonNode(PendingRequest &question, Millis since);
+	void AbandonNode(PendingRequest &request, Millis since);
 	void RefreshOwner(const PartitionId &shard);
 	void ReadOwner(const PartitionId &shard, const PartitionId &from);
 	void OnOwnerRead(const PartitionId &shard, const PartitionId &from, const NewestPage &page);
@@ -134,7 +134,7 @@
 	void Finish(uint64_t number, ResultCode code, const MessageUnion *answer);
 	Peer &PeerOf(const std::string &address);
 	[[nodiscard]] Millis AnswerTimeoutOf(const std::string &address);
-	void UpdateAnswerTimeout(const PendingRequest &question);
+	void UpdateAnswerTimeout(const PendingRequest &request);
 };
 
 #endif /* OWNER_LOOKUP_H */
--- a/src/node/shard_host.cpp
+++ b/src/node/shard_host.cpp
@@ -40,8 +40,8 @@
 	return (part + 1) % partitions;
 }
 
-ShardHost::ShardHost(ShardOwnerContext parts, GroupMember &member, SiteFeed &feed, uint32_t partitions)
-		: parts(std::move(parts)), member(member), feed(feed), partitions(partitions)
+ShardHost::ShardHost(ShardOwnerContext context, GroupMember &member, SiteFeed &feed, uint32_t partitions)
+		: context(std::move(context)), member(member), feed(feed), partitions(partitions)
 {
 }
 
@@ -61,7 +61,7 @@
 bool ShardHost::Monitored(const ServiceName &service) const
 {
 	const std::optional<uint32_t> part = PartitionOf(this->config, service, this->partitions);
-	/* A node that owns a shard does not watch another, so that it does not come to own two. With 1,100 boxes, a node
+	/* A node that owns a shard does not monitor another, so that it does not come to own two. With 1,100 boxes, a node
 	 * with two shards fell 12 s behind during a load peak. */
 	return part && this->member.Holds(MonitorPartitionOf(*part, this->partitions)) && this->Claimed() == 0;
 }
@@ -85,7 +85,7 @@
 		return;
 	}
 	size_t owned = this->Claimed();
-	const Millis now = this->parts.scheduler.Now();
+	const Millis now = this->context.scheduler.Now();
 	const bool check_due = this->member.HeldRecently() && now - this->owners_checked_at >= OWNER_CHECK_INTERVAL;
 	this->owners_checked_at = check_due && !this->config.services.empty() ? now : this->owners_checked_at;
 	for (const JobService &service : this->config.services) {
@@ -101,7 +101,7 @@
 		} else if (!assigned && it->second->Claimed() && (this->member.IsStandby() || owned > this->KeptShardsMax())) {
 			/* A member that the group missed only briefly keeps its shards: a new owner would have to claim them first.
 			 */
-			this->parts.events.Write("shard_handed_over", {{"service", service.name.Value()}});
+			this->context.events.Write("shard_handed_over", {{"service", service.name.Value()}});
 			this->Release(service.name);
 			owned--;
 		}
@@ -119,12 +119,12 @@
 void ShardHost::StartOwner(const ServiceName &service)
 {
 	auto owner = std::make_unique<ShardOwner>(
-			this->parts, service, [this, service] { return this->Assigned(service); },
+			this->context, service, [this, service] { return this->Assigned(service); },
 			[this, service] { return this->Monitored(service); });
 	owner->on_lost = [this, service] {
 		/* Deferred, since the owner must not be destroyed during its own callback. The new owner reads from the record
 		 * whether another node has claimed the shard. */
-		this->parts.scheduler.After(Millis(0), [this, service] {
+		this->context.scheduler.After(Millis(0), [this, service] {
 			if (!this->stopped) {
 				this->owners.erase(service);
 				this->StartOwner(service);
@@ -142,7 +142,7 @@
 {
 	auto node = this->owners.extract(service);
 	node.mapped()->Release([this, owner = node.mapped().get()] {
-		this->parts.scheduler.After(Millis(0), [this, owner] {
+		this->context.scheduler.After(Millis(0), [this, owner] {
 			std::erase_if(this->releasing, [owner](const auto &it) { return it.get() == owner; });
 		});
 	});
--- a/src/node/shard_host.h
+++ b/src/node/shard_host.h
@@ -36,12 +36,12 @@
 class ShardHost {
 public:
 	/**
-	 * @param parts Dependencies of shard owners.
+	 * @param context Dependencies of shard owners.
 	 * @param member This node's membership in the group; outlives this object.
 	 * @param feed Source of box reports; outlives this object.
 	 * @param partitions Number of partitions of the topic.
 	 */
-	ShardHost(ShardOwnerContext parts, GroupMember &member, SiteFeed &feed, uint32_t partitions);
+	ShardHost(ShardOwnerContext context, GroupMember &member, SiteFeed &feed, uint32_t partitions);
 
 	/**
 	 * Applies a configuration.
@@ -77,7 +77,7 @@
 	[[nodiscard]] const std::map<ServiceName, std::unique_ptr<ShardOwner>> &Owners() const { return this->owners; }
 
 private:
-	ShardOwnerContext parts;            ///< Dependencies of shard owners.
+	ShardOwnerContext context;          ///< Dependencies of shard owners.
 	GroupMember &member;                ///< This node's membership in the group.
 	SiteFeed &feed;                     ///< Source of box reports.
 	uint32_t partitions;                ///< Number of partitions of the topic.
