--- a/src/node/config_exchange.h
+++ b/src/node/config_exchange.h
@@ -67,8 +67,8 @@
 	void AddPeer(const std::string &address);
 	/**
 	 * Confirms that this node has the newest configuration.
-	 * @param done Called with the result; never called if neither the store nor a peer answers, possibly more than once
-	 * otherwise.
+	 * @param done Called with true, possibly several times, once the store or a peer confirms it; never called if
+	 * neither answers.
 	 */
 	void Confirm(const std::function<void(bool)> &done);
 	/**
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -67,7 +67,8 @@
 
 	/**
 	 * Confirms that this node has the newest configuration.
-	 * @param done Called with the result; never called if neither the store nor a peer answers.
+	 * @param done Called with true, possibly several times, once the store or a peer confirms it; never called if
+	 * neither answers.
 	 */
 	void ConfirmConfig(const std::function<void(bool)> &done) { this->configs.Confirm(done); }
 
--- a/src/node/shard_host.cpp
+++ b/src/node/shard_host.cpp
@@ -31,8 +31,8 @@
 	if (it == names.end()) {
 		return std::nullopt;
 	}
-	const auto place = static_cast<size_t>(std::distance(names.begin(), it));
-	return static_cast<uint32_t>(place * partitions / names.size());
+	const auto index = static_cast<size_t>(std::distance(names.begin(), it));
+	return static_cast<uint32_t>(index * partitions / names.size());
 }
 
 uint32_t MonitorPartitionOf(uint32_t part, uint32_t partitions)
