--- a/src/request/exchange.cpp
+++ b/src/request/exchange.cpp
@@ -39,7 +39,7 @@
  * @param text Digits.
  * @return The number, or nothing.
  */
-std::optional<int64_t> NumberOf(const std::string &text)
+std::optional<int64_t> ParsePositive(const std::string &text)
 {
 	int64_t n = 0;
 	const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), n);
@@ -51,8 +51,9 @@
 
 } // namespace
 
-Exchange::Exchange(Scheduler &lane, RequestPath &path, EndpointDialer &dialer, CallerSink &sink, CallerRequest request)
-		: lane(lane), path(path), dialer(dialer), sink(&sink), request(std::move(request))
+Exchange::Exchange(Scheduler &scheduler, RequestPath &path, EndpointDialer &dialer, CallerSink &sink,
+				   CallerRequest request)
+		: scheduler(scheduler), path(path), dialer(dialer), sink(&sink), request(std::move(request))
 {
 	this->path.counters.received++;
 	this->path.counters.open++;
@@ -66,7 +67,7 @@
 void Exchange::Start()
 {
 	this->self = this->shared_from_this();
-	this->started_at = this->lane.Now();
+	this->started_at = this->scheduler.Now();
 	if (const Result result = this->Identify(); !result.Ok()) {
 		this->NotRun(result.code, Millis(0));
 		return;
@@ -77,7 +78,7 @@
 		this->NotRun(result.code, Millis(0));
 		return;
 	}
-	if (this->PassKey()) {
+	if (this->ClaimKey()) {
 		this->AskForSlot();
 	}
 }
@@ -127,17 +128,17 @@
 		wait = settings.deadline_batch;
 	}
 	if (const std::string *text = this->request.headers.Find(HEADER_DEADLINE); text != nullptr) {
-		wait = std::min(Millis(NumberOf(*text).value_or(wait.Value())), settings.deadline_max);
+		wait = std::min(Millis(ParsePositive(*text).value_or(wait.Value())), settings.deadline_max);
 	}
 	this->facts.deadline = this->started_at + wait;
-	this->timer = this->lane.After(wait, [this] { this->OnDeadline(); });
+	this->timer = this->scheduler.After(wait, [this] { this->OnDeadline(); });
 }
 
 void Exchange::ReadRepeatable()
 {
-	const std::string *word = this->request.headers.Find(HEADER_REPEATABLE);
+	const std::string *value = this->request.headers.Find(HEADER_REPEATABLE);
 	this->facts.repeatable = IsIdempotent(this->request.method) || this->route.row.repeatable ||
-							 (word != nullptr && EqualsIgnoreCase(*word, "yes"));
+							 (value != nullptr && EqualsIgnoreCase(*value, "yes"));
 }
 
 Result Exchange::ReadKey()
@@ -153,14 +154,14 @@
 	return {};
 }
 
-bool Exchange::PassKey()
+bool Exchange::ClaimKey()
 {
 	if (!this->facts.key) {
 		return true;
 	}
 	const KeyId &key = *this->facts.key;
 	const Millis issued = *KeyIssueTime(key.key);
-	const KeyOwner owner = this->path.routes.OwnerOf(key, issued, this->path.keys.Limits().skew, this->lane.Now());
+	const KeyOwner owner = this->path.routes.OwnerOf(key, issued, this->path.keys.Limits().skew, this->scheduler.Now());
 	if (!owner.self) {
 		/* Forwarded once already: the sender's view or ours is old, and nobody ran it. */
 		if (owner.code != ResultCode::RC_OK || this->request.from_peer) {
@@ -178,8 +179,9 @@
 		this->Refuse(owner.code, RUN_UNKNOWN);
 		return false;
 	}
-	const uint64_t print = HashText(this->request.method + ' ' + this->request.target + '\n' + this->request.body);
-	const KeyDecision decision = this->path.keys.Begin(key, print, this->lane.WallNow());
+	const uint64_t fingerprint =
+			HashText(this->request.method + ' ' + this->request.target + '\n' + this->request.body);
+	const KeyDecision decision = this->path.keys.Begin(key, fingerprint, this->scheduler.WallNow());
 	if (decision.replay) {
 		this->Replay(*decision.replay);
 		return false;
@@ -197,51 +199,51 @@
 void Exchange::AskForSlot()
 {
 	this->state = ExchangeState::ES_WAITING;
-	const uint64_t round = ++this->ask_round;
+	const uint64_t round = ++this->slot_attempt;
 	SlotRequest want;
 	want.service = this->facts.service;
 	want.work_class = this->facts.work_class;
 	want.deadline = this->facts.deadline;
 	want.avoid = this->tried;
 	want.only_spare = this->request.from_peer && !this->facts.key;
-	want.done = [still = this->weak_from_this(), lane = &this->lane, gate = this->route.gate,
+	want.done = [still = this->weak_from_this(), scheduler = &this->scheduler, gate = this->route.gate,
 				 service = this->facts.service, round](const GateDecision &answer) {
-		lane->Post([still, gate, service, round, answer, lane] {
+		scheduler->Post([still, gate, service, round, answer, scheduler] {
 			if (const auto it = still.lock(); it) {
-				it->OnGate(round, answer);
+				it->OnGateDecision(round, answer);
 			} else if (answer.code == ResultCode::RC_OK) {
-				gate->Release(answer.grant.box, service, CallOutcome::CO_CANCELLED, Millis(0), lane->Now());
+				gate->Release(answer.grant.box, service, CallOutcome::CO_CANCELLED, Millis(0), scheduler->Now());
 			}
 		});
 	};
 	const std::optional<GateDecision> answer =
-			this->route.gate->RequestSlot(std::move(want), this->lane.Now(), this->ask);
+			this->route.gate->RequestSlot(std::move(want), this->scheduler.Now(), this->slot_request);
 	if (answer) {
-		this->OnGate(round, *answer);
+		this->OnGateDecision(round, *answer);
 	}
 }
 
-void Exchange::OnGate(uint64_t round, const GateDecision &answer)
+void Exchange::OnGateDecision(uint64_t round, const GateDecision &answer)
 {
-	if (round != this->ask_round || this->state != ExchangeState::ES_WAITING) {
+	if (round != this->slot_attempt || this->state != ExchangeState::ES_WAITING) {
 		if (answer.code == ResultCode::RC_OK) {
 			this->route.gate->Release(answer.grant.box, this->facts.service, CallOutcome::CO_CANCELLED, Millis(0),
-									  this->lane.Now());
+									  this->scheduler.Now());
 		}
 		return;
 	}
-	this->ask = SlotRequestId();
+	this->slot_request = SlotRequestId();
 	if (answer.code == ResultCode::RC_OK) {
-		this->Granted(answer.grant);
+		this->OnGranted(answer.grant);
 		return;
 	}
-	if (answer.code == ResultCode::RC_CANNOT_BE_ON_TIME || !this->TrySpare()) {
+	if (answer.code == ResultCode::RC_CANNOT_BE_ON_TIME || !this->TryOtherZone()) {
 		const bool none_connected = !this->tried.empty() && answer.code == ResultCode::RC_NO_ENDPOINT;
 		this->NotRun(none_connected ? ResultCode::RC_CONNECT_FAILED : answer.code, answer.retry_after);
 	}
 }
 
-bool Exchange::TrySpare()
+bool Exchange::TryOtherZone()
 {
 	/* A guest is not passed on again, and a keyed request stays with the owner of its key. */
 	if (!this->path.settings.spillover || this->request.from_peer || this->facts.key) {
@@ -256,11 +258,11 @@
 	return true;
 }
 
-void Exchange::Granted(const Grant &slot)
+void Exchange::OnGranted(const Grant &slot)
 {
 	this->grant = slot;
-	this->granted_at = this->lane.Now();
-	this->sendings++;
+	this->granted_at = this->scheduler.Now();
+	this->attempts++;
 	this->Send(slot.address);
 }
 
@@ -280,7 +282,7 @@
 		out.headers.Remove(name);
 	}
 	out.headers.Add(std::string(HEADER_ACCOUNT), this->facts.account.Value());
-	const Millis left = std::max(this->facts.deadline - this->lane.Now(), Millis(1));
+	const Millis left = std::max(this->facts.deadline - this->scheduler.Now(), Millis(1));
 	out.headers.Add(std::string(HEADER_DEADLINE), std::to_string(left.Value()));
 	if (this->to_peer) {
 		out.headers.Add(std::string(HEADER_FORWARDED), this->path.self.name.Value());
@@ -293,7 +295,7 @@
 void Exchange::Send(const std::string &address)
 {
 	this->state = ExchangeState::ES_SENT;
-	this->keep = this->key_held;
+	this->store_body = this->key_held;
 	this->call = this->dialer.Start(address, this->Outgoing(), *this);
 }
 
@@ -315,7 +317,7 @@
 	}
 	this->state = ExchangeState::ES_RELAYING;
 	/* An answer has begun: from here on the deadline is the endpoint's word against a stream that may last. */
-	this->lane.Cancel(this->timer);
+	this->scheduler.Cancel(this->timer);
 	this->timer = TimerId();
 	ResponseHead out = *this->head;
 	out.headers.RemoveHopByHop();
@@ -324,11 +326,11 @@
 
 void Exchange::OnResponseBody(std::string_view data)
 {
-	if (this->keep) {
-		this->kept.append(data);
-		if (this->kept.size() > this->path.keys.Limits().answer_bytes) {
-			this->keep = false;
-			this->kept.clear();
+	if (this->store_body) {
+		this->stored_body.append(data);
+		if (this->stored_body.size() > this->path.keys.Limits().answer_bytes) {
+			this->store_body = false;
+			this->stored_body.clear();
 		}
 	}
 	if (this->state != ExchangeState::ES_RELAYING) {
@@ -349,7 +351,7 @@
 
 void Exchange::OnResponseEnd()
 {
-	this->SettleKey(true);
+	this->FinishKey(true);
 	const bool good = this->head->status < STATUS_SERVER_ERROR;
 	const std::string *run = this->head->headers.Find(HEADER_RUN);
 	const bool refused = this->head->status == STATUS_UNAVAILABLE && run != nullptr && EqualsIgnoreCase(*run, RUN_NO);
@@ -360,7 +362,8 @@
 	this->GiveBack(refused ? CallOutcome::CO_REFUSED : outcome);
 	if (this->state == ExchangeState::ES_RELAYING) {
 		this->path.counters.answered++;
-		this->path.NoteLatency(this->facts.service, static_cast<double>((this->lane.Now() - this->started_at).Value()));
+		this->path.RecordLatency(this->facts.service,
+								 static_cast<double>((this->scheduler.Now() - this->started_at).Value()));
 		if (this->sink != nullptr) {
 			this->sink->End();
 		}
@@ -377,14 +380,14 @@
 			this->path.keys.Forget(*this->facts.key);
 			this->key_held = false;
 		}
-		this->SettleKey(false);
+		this->FinishKey(false);
 		this->GiveBack(CallOutcome::CO_CONNECTION_FAILED);
 		this->Finish();
 		return;
 	}
 	if (this->state == ExchangeState::ES_RELAYING) {
 		/* Part of the answer is out: the caller must see that it is not whole. */
-		this->SettleKey(false);
+		this->FinishKey(false);
 		this->GiveBack(CallOutcome::CO_CONNECTION_FAILED);
 		this->path.counters.broken++;
 		if (this->sink != nullptr) {
@@ -416,8 +419,8 @@
 
 bool Exchange::MayRetry() const
 {
-	return !this->to_peer && this->sendings < this->path.settings.max_attempts &&
-		   this->lane.Now() < this->facts.deadline && this->path.retries.Spend();
+	return !this->to_peer && this->attempts < this->path.settings.max_attempts &&
+		   this->scheduler.Now() < this->facts.deadline && this->path.retries.TrySpend();
 }
 
 void Exchange::Retry(CallOutcome outcome)
@@ -426,7 +429,7 @@
 	this->tried.insert(this->grant->box);
 	this->GiveBack(outcome);
 	this->DropCall();
-	this->kept.clear();
+	this->stored_body.clear();
 	this->AskForSlot();
 }
 
@@ -434,7 +437,7 @@
 {
 	this->timer = TimerId();
 	if (this->state == ExchangeState::ES_WAITING) {
-		this->route.gate->Withdraw(this->ask);
+		this->route.gate->CancelRequest(this->slot_request);
 		this->NotRun(ResultCode::RC_CANNOT_BE_ON_TIME, Millis(MS_PER_SECOND));
 		return;
 	}
@@ -445,7 +448,7 @@
 		return;
 	}
 	if (this->state == ExchangeState::ES_DETACHED) {
-		this->SettleKey(false);
+		this->FinishKey(false);
 		this->GiveBack(CallOutcome::CO_CONNECTION_FAILED);
 		this->Finish();
 	}
@@ -469,7 +472,7 @@
 		return;
 	}
 	if (this->state == ExchangeState::ES_WAITING) {
-		this->route.gate->Withdraw(this->ask);
+		this->route.gate->CancelRequest(this->slot_request);
 	}
 	if (this->key_held && this->state == ExchangeState::ES_WAITING) {
 		this->path.keys.Forget(*this->facts.key);
@@ -482,8 +485,8 @@
 void Exchange::Detach()
 {
 	this->state = ExchangeState::ES_DETACHED;
-	this->lane.Cancel(this->timer);
-	this->timer = this->lane.After(this->path.settings.detach_patience, [this] { this->OnDeadline(); });
+	this->scheduler.Cancel(this->timer);
+	this->timer = this->scheduler.After(this->path.settings.detach_patience, [this] { this->OnDeadline(); });
 }
 
 void Exchange::DropCall()
@@ -493,7 +496,7 @@
 	}
 	/* The call may be the one that is telling us: it goes when the lane is free. */
 	this->call->Abandon();
-	this->lane.Post([call = std::shared_ptr<EndpointCall>(std::move(this->call))] {});
+	this->scheduler.Post([call = std::shared_ptr<EndpointCall>(std::move(this->call))] {});
 }
 
 void Exchange::GiveBack(CallOutcome outcome)
@@ -501,21 +504,21 @@
 	if (!this->grant) {
 		return;
 	}
-	const Millis now = this->lane.Now();
+	const Millis now = this->scheduler.Now();
 	const BoxName box = this->grant->box;
 	this->grant.reset();
 	this->route.gate->Release(box, this->facts.service, outcome, now - this->granted_at, now);
 }
 
-void Exchange::SettleKey(bool whole)
+void Exchange::FinishKey(bool complete)
 {
 	if (!this->key_held) {
 		return;
 	}
 	this->key_held = false;
-	std::shared_ptr<const StoredAnswer> answer;
-	if (whole && this->keep && this->head) {
-		answer = std::make_shared<StoredAnswer>(StoredAnswer{*this->head, std::move(this->kept)});
+	std::shared_ptr<const StoredResponse> answer;
+	if (complete && this->store_body && this->head) {
+		answer = std::make_shared<StoredResponse>(StoredResponse{*this->head, std::move(this->stored_body)});
 	}
 	this->path.keys.Finish(*this->facts.key, std::move(answer));
 }
@@ -555,20 +558,20 @@
 		this->Detach();
 		return;
 	}
-	this->SettleKey(false);
+	this->FinishKey(false);
 	this->Finish();
 }
 
-void Exchange::Replay(const StoredAnswer &answer)
+void Exchange::Replay(const StoredResponse &response)
 {
 	this->path.counters.replayed++;
-	ResponseHead out = answer.head;
+	ResponseHead out = response.head;
 	out.headers.RemoveHopByHop();
 	out.headers.Add(std::string(HEADER_REPLAYED), "yes");
-	out.length = answer.body.size();
+	out.length = response.body.size();
 	if (this->sink != nullptr) {
 		this->sink->Begin(out);
-		this->sink->Body(answer.body);
+		this->sink->Body(response.body);
 		this->sink->End();
 	}
 	this->Finish();
@@ -578,10 +581,10 @@
 {
 	this->state = ExchangeState::ES_DONE;
 	this->sink = nullptr;
-	this->lane.Cancel(this->timer);
+	this->scheduler.Cancel(this->timer);
 	this->timer = TimerId();
 	this->DropCall();
 	if (this->self) {
-		this->lane.Post([hold = std::move(this->self)] {});
+		this->scheduler.Post([hold = std::move(this->self)] {});
 	}
 }
--- a/src/request/exchange.h
+++ b/src/request/exchange.h
@@ -31,7 +31,7 @@
 	 * @param sink The caller's end; used until the answer has ended, broken, or OnCallerDisconnected().
 	 * @param request The request.
 	 */
-	Exchange(Scheduler &lane, RequestPath &path, EndpointDialer &dialer, CallerSink &sink, CallerRequest request);
+	Exchange(Scheduler &scheduler, RequestPath &path, EndpointDialer &dialer, CallerSink &sink, CallerRequest request);
 	~Exchange() override;
 
 	/** Begins. The sink may be used before this returns. */
@@ -59,7 +59,7 @@
 		std::optional<KeyId> key;                    ///< Its key, if it may not be repeated.
 	};
 
-	Scheduler &lane;                                  ///< Clock and timers.
+	Scheduler &scheduler;                             ///< Clock and timers.
 	RequestPath &path;                                ///< Shared by all requests.
 	EndpointDialer &dialer;                           ///< Starts calls.
 	CallerSink *sink;                                 ///< The caller's end, null once it is over.
@@ -67,19 +67,19 @@
 	Facts facts;                                      ///< What was found out.
 	ExchangeState state = ExchangeState::ES_RECEIVED; ///< Where it stands.
 	Route route;                                      ///< Service and gate.
-	SlotRequestId ask;                                ///< Place at the gate.
-	uint64_t ask_round = 0;                           ///< Counts asks: late answers of older ones give their slot back.
+	SlotRequestId slot_request;                       ///< Place at the gate.
+	uint64_t slot_attempt = 0;                        ///< Counts asks: late answers of older ones give their slot back.
 	std::optional<Grant> grant;                       ///< Slot held.
 	Millis granted_at;                                ///< Since when.
 	Millis started_at;                                ///< When the request was whole.
-	uint32_t sendings = 0;                            ///< Endpoints that it was offered to, one as often as it was.
+	uint32_t attempts = 0;                            ///< Endpoints that it was offered to, one as often as it was.
 	std::set<BoxName> tried;                          ///< Endpoints that did not run it.
 	std::unique_ptr<EndpointCall> call;               ///< Call under way.
 	bool to_peer = false;                             ///< Whether the call goes to another entry.
 	bool key_held = false;                            ///< Whether the key's memory says that this request runs.
 	std::optional<ResponseHead> head;                 ///< Head of the answer.
-	std::string kept;                                 ///< Body so far, for the memory of keys.
-	bool keep = false;                                ///< Whether the body is kept.
+	std::string stored_body;                          ///< Body so far, for the memory of keys.
+	bool store_body = false;                          ///< Whether the body is kept.
 	TimerId timer;                                    ///< Deadline or end of patience.
 	std::shared_ptr<Exchange> self;                   ///< Keeps this alive until it is done.
 
@@ -87,24 +87,24 @@
 	void ReadDeadline();
 	void ReadRepeatable();
 	Result ReadKey();
-	bool PassKey();
+	bool ClaimKey();
 	void AskForSlot();
-	void OnGate(uint64_t round, const GateDecision &answer);
-	void Granted(const Grant &slot);
+	void OnGateDecision(uint64_t round, const GateDecision &answer);
+	void OnGranted(const Grant &slot);
 	void ForwardTo(const std::string &address);
-	bool TrySpare();
+	bool TryOtherZone();
 	void Send(const std::string &address);
 	[[nodiscard]] CallerRequest Outgoing() const;
 	void OnDeadline();
 	void NotRun(ResultCode code, Millis retry_after);
 	void Refuse(ResultCode code, const char *run, Millis retry_after = Millis(0));
-	void Replay(const StoredAnswer &answer);
+	void Replay(const StoredResponse &response);
 	[[nodiscard]] bool MayRetry() const;
 	void Retry(CallOutcome outcome);
 	void Detach();
 	void DropCall();
 	void GiveBack(CallOutcome outcome);
-	void SettleKey(bool whole);
+	void FinishKey(bool complete);
 	void Finish();
 };
 
--- a/src/request/headers.cpp
+++ b/src/request/headers.cpp
@@ -19,7 +19,7 @@
 														  "Content-Length"};
 
 /** @return The character in lower case, ASCII only. */
-char Lower(char c)
+char ToLower(char c)
 {
 	return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
@@ -28,7 +28,7 @@
 
 bool EqualsIgnoreCase(std::string_view a, std::string_view b)
 {
-	return std::ranges::equal(a, b, {}, Lower, Lower);
+	return std::ranges::equal(a, b, {}, ToLower, ToLower);
 }
 
 const std::string *HeaderList::Find(std::string_view name) const
--- a/src/request/key_memory.cpp
+++ b/src/request/key_memory.cpp
@@ -18,7 +18,7 @@
  * @param base Base.
  * @return The number, or nothing.
  */
-std::optional<Millis> NumberOf(const std::string &text, int base)
+std::optional<Millis> ParseMillis(const std::string &text, int base)
 {
 	int64_t n = 0;
 	const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), n, base);
@@ -33,10 +33,10 @@
 std::optional<Millis> KeyIssueTime(std::string_view key)
 {
 	if (key.size() == UUID_LENGTH && key[8] == '-' && key[UUID_VERSION_AT] == '7') {
-		return NumberOf(std::string(key.substr(0, 8)) + std::string(key.substr(9, 4)), 16);
+		return ParseMillis(std::string(key.substr(0, 8)) + std::string(key.substr(9, 4)), 16);
 	}
 	if (key.size() > MILLIS_DIGITS + 1 && key[MILLIS_DIGITS] == '-') {
-		return NumberOf(std::string(key.substr(0, MILLIS_DIGITS)), 10);
+		return ParseMillis(std::string(key.substr(0, MILLIS_DIGITS)), 10);
 	}
 	return std::nullopt;
 }
@@ -50,16 +50,16 @@
 {
 	/* A key is remembered for as long as any entry could still accept it. */
 	const Millis keep = this->limits.window + this->limits.skew + this->limits.skew;
-	auto it = shard.by_issue.begin();
-	while (it != shard.by_issue.end() && it->first + keep < now) {
+	auto it = shard.by_issue_time.begin();
+	while (it != shard.by_issue_time.end() && it->first + keep < now) {
 		const auto entry = shard.entries.find(it->second);
 		if (entry->second.running) {
 			++it;
 			continue;
 		}
-		shard.bytes -= entry->second.answer ? entry->second.answer->body.size() : 0;
+		shard.bytes -= entry->second.response ? entry->second.response->body.size() : 0;
 		shard.entries.erase(entry);
-		it = shard.by_issue.erase(it);
+		it = shard.by_issue_time.erase(it);
 	}
 }
 
@@ -79,17 +79,17 @@
 		if (it->second.fingerprint != fingerprint) {
 			return {ResultCode::RC_KEY_OTHER_REQUEST, nullptr};
 		}
-		return {it->second.running ? ResultCode::RC_KEY_RUNNING : ResultCode::RC_KEY_RAN, it->second.answer};
+		return {it->second.running ? ResultCode::RC_KEY_RUNNING : ResultCode::RC_KEY_RAN, it->second.response};
 	}
 	if (shard.entries.size() >= this->limits.keys / SHARDS) {
 		return {ResultCode::RC_KEY_MEMORY_FULL, nullptr};
 	}
 	shard.entries.emplace(id, Entry{fingerprint, *issued, true, nullptr});
-	shard.by_issue.emplace(*issued, id);
+	shard.by_issue_time.emplace(*issued, id);
 	return {};
 }
 
-void KeyMemory::Finish(const KeyId &id, std::shared_ptr<const StoredAnswer> answer)
+void KeyMemory::Finish(const KeyId &id, std::shared_ptr<const StoredResponse> response)
 {
 	Shard &shard = this->ShardOf(id);
 	const std::scoped_lock guard(shard.lock);
@@ -98,10 +98,10 @@
 		return;
 	}
 	it->second.running = false;
-	const size_t size = answer ? answer->body.size() : 0;
+	const size_t size = response ? response->body.size() : 0;
 	if (size <= this->limits.answer_bytes && shard.bytes + size <= this->limits.total_bytes / SHARDS) {
 		shard.bytes += size;
-		it->second.answer = std::move(answer);
+		it->second.response = std::move(response);
 	}
 }
 
@@ -113,9 +113,9 @@
 	if (it == shard.entries.end()) {
 		return;
 	}
-	const auto [first, last] = shard.by_issue.equal_range(it->second.issued);
+	const auto [first, last] = shard.by_issue_time.equal_range(it->second.issued);
 	const auto place = std::find_if(first, last, [&](const auto &entry) { return entry.second == id; });
-	shard.by_issue.erase(place);
+	shard.by_issue_time.erase(place);
 	shard.entries.erase(it);
 }
 
--- a/src/request/key_memory.h
+++ b/src/request/key_memory.h
@@ -18,7 +18,7 @@
 };
 
 /** A whole small answer, kept for a retry with the same key. */
-struct StoredAnswer {
+struct StoredResponse {
 	ResponseHead head; ///< Its head.
 	std::string body;  ///< Its body.
 };
@@ -34,8 +34,8 @@
 
 /** What to do with a keyed request. */
 struct KeyDecision {
-	ResultCode code = ResultCode::RC_OK;        ///< RC_OK: run it; else refuse with this code.
-	std::shared_ptr<const StoredAnswer> replay; ///< With RC_KEY_RAN: the answer, when it was kept.
+	ResultCode code = ResultCode::RC_OK;          ///< RC_OK: run it; else refuse with this code.
+	std::shared_ptr<const StoredResponse> replay; ///< With RC_KEY_RAN: the answer, when it was kept.
 };
 
 /**
@@ -64,7 +64,7 @@
 	 * @param id The key.
 	 * @param answer Its answer when it is whole and small enough, else null.
 	 */
-	void Finish(const KeyId &id, std::shared_ptr<const StoredAnswer> answer);
+	void Finish(const KeyId &id, std::shared_ptr<const StoredResponse> response);
 
 	/**
 	 * The request certainly did not run: the key may be used again.
@@ -81,18 +81,18 @@
 private:
 	/** What is remembered of a key. */
 	struct Entry {
-		uint64_t fingerprint = 0;                   ///< Of the request that used it.
-		Millis issued;                              ///< When the caller made it.
-		bool running = true;                        ///< Whether its request is under way.
-		std::shared_ptr<const StoredAnswer> answer; ///< Kept answer, if any.
+		uint64_t fingerprint = 0;                       ///< Of the request that used it.
+		Millis issued;                                  ///< When the caller made it.
+		bool running = true;                            ///< Whether its request is under way.
+		std::shared_ptr<const StoredResponse> response; ///< Kept answer, if any.
 	};
 
 	/** Part of the memory. */
 	struct Shard {
-		mutable std::mutex lock;               ///< Guards what follows.
-		std::map<KeyId, Entry> entries;        ///< The keys.
-		std::multimap<Millis, KeyId> by_issue; ///< The same, oldest first.
-		size_t bytes = 0;                      ///< Kept answers.
+		mutable std::mutex lock;                    ///< Guards what follows.
+		std::map<KeyId, Entry> entries;             ///< The keys.
+		std::multimap<Millis, KeyId> by_issue_time; ///< The same, oldest first.
+		size_t bytes = 0;                           ///< Kept answers.
 	};
 
 	static constexpr size_t SHARDS = 16; ///< Parts of the memory.
--- a/src/request/pool_gate.cpp
+++ b/src/request/pool_gate.cpp
@@ -11,13 +11,13 @@
 
 constexpr int64_t US_PER_MS = 1000;               ///< Microseconds in a millisecond.
 constexpr int64_t SMOOTHING = 8;                  ///< Weight of the past in smoothed values, against 1 for the newest.
-constexpr uint32_t SCORE_FULL = 1000;             ///< Error score of an endpoint that fails everything.
-constexpr uint32_t SCORE_BAD = 500;               ///< Error score from which an endpoint may be ejected.
+constexpr uint32_t MAX_ERROR_SCORE = 1000;        ///< Error score of an endpoint that fails everything.
+constexpr uint32_t EJECT_ERROR_SCORE = 500;       ///< Error score from which an endpoint may be ejected.
 constexpr uint64_t MILLION = 1000000;             ///< Scale of shares.
 constexpr Millis PEAK_WINDOW(10 * MS_PER_SECOND); ///< How long a peak of use counts.
-constexpr uint32_t REFUSED_DOUBLINGS = 5;         ///< The pause doubles so often with refusals in a row.
-constexpr Millis REFUSED_PAUSE(50);               ///< Pause after an endpoint's own refusal.
-constexpr Millis LEAST_RETRY_AFTER(1000);         ///< Shortest time that a refused caller is told to wait.
+constexpr uint32_t MAX_REFUSAL_DOUBLINGS = 5;     ///< The pause doubles so often with refusals in a row.
+constexpr Millis REFUSAL_BACKOFF(50);             ///< Pause after an endpoint's own refusal.
+constexpr Millis MIN_RETRY_AFTER(1000);           ///< Shortest time that a refused caller is told to wait.
 
 /**
  * Scales a floor or ceiling to the own share.
@@ -45,13 +45,13 @@
 
 PoolGate::PoolGate(GateSettings settings, uint64_t seed) : settings(settings), random(seed) {}
 
-void PoolGate::Update(const std::vector<GateEndpoint> &list, const std::vector<ServiceRow> &rows,
-					  uint64_t ceiling_scale, Millis from, Millis now)
+void PoolGate::Update(const std::vector<GateEndpoint> &list, const std::vector<ServiceRow> &rows, uint64_t share_scale,
+					  Millis from, Millis now)
 {
-	Answers answers;
+	Decisions decisions;
 	{
 		const std::scoped_lock guard(this->lock);
-		this->gained_from = from;
+		this->gained_usable_from = from;
 		for (auto &[box, it] : this->endpoints) {
 			it.listed = false;
 			it.view.open = false;
@@ -67,26 +67,26 @@
 			state.base = std::min(state.base, it.share);
 			state.listed = true;
 		}
-		std::erase_if(this->endpoints, [](const auto &it) { return Forgettable(it.second); });
-		std::set<ServiceName> kept;
+		std::erase_if(this->endpoints, [](const auto &it) { return Removable(it.second); });
+		std::set<ServiceName> configured;
 		for (const ServiceRow &row : rows) {
 			ServiceState &service = this->services[row.service];
 			service.row = row;
-			service.floor = ScaleUp(row.floor, ceiling_scale);
-			service.ceiling = std::max(ScaleUp(row.ceiling, ceiling_scale), 1U);
-			kept.insert(row.service);
+			service.floor = ScaleUp(row.floor, share_scale);
+			service.ceiling = std::max(ScaleUp(row.ceiling, share_scale), 1U);
+			configured.insert(row.service);
 		}
 		for (auto &[name, service] : this->services) {
-			if (!kept.contains(name)) {
+			if (!configured.contains(name)) {
 				service.ceiling = 0;
 			}
 		}
-		this->Serve(now, answers);
+		this->GrantWaiting(now, decisions);
 	}
-	Send(answers);
+	Deliver(decisions);
 }
 
-bool PoolGate::Forgettable(const EndpointState &it)
+bool PoolGate::Removable(const EndpointState &it)
 {
 	return !it.listed && it.in_flight == 0 && it.lent == 0 && it.borrowed == 0;
 }
@@ -129,7 +129,7 @@
 	return total;
 }
 
-PoolGate::EndpointState *PoolGate::Better(EndpointState *a, EndpointState *b) const
+PoolGate::EndpointState *PoolGate::LessLoaded(EndpointState *a, EndpointState *b) const
 {
 	/* Expected time until a request would be through: load times typical time, against the slots to share it. */
 	const auto cost = [](const EndpointState &it) {
@@ -166,12 +166,12 @@
 	boost::random::uniform_int_distribution<size_t> any(0, usable.size() - 1);
 	EndpointState *first = usable[any(this->random)];
 	EndpointState *second = usable[any(this->random)];
-	return this->Better(first, second);
+	return this->LessLoaded(first, second);
 }
 
-Millis PoolGate::TypicalOf(const ServiceState &service) const
+Millis PoolGate::TypicalLatency(const ServiceState &service) const
 {
-	return service.typical_us == 0 ? this->settings.guess : Millis(service.typical_us / US_PER_MS);
+	return service.typical_us == 0 ? this->settings.initial_latency : Millis(service.typical_us / US_PER_MS);
 }
 
 Millis PoolGate::WaitFor(const ServiceState &service, WorkClass work_class, Millis deadline, Millis now) const
@@ -182,19 +182,21 @@
 			if (other_class < work_class) {
 				ahead += waiters.size();
 			} else if (other_class == work_class) {
-				ahead += static_cast<uint64_t>(
-						std::ranges::count_if(waiters, [&](const Waiter &it) { return it.ask.deadline <= deadline; }));
+				ahead += static_cast<uint64_t>(std::ranges::count_if(
+						waiters, [&](const Waiter &it) { return it.request.deadline <= deadline; }));
 			}
 		}
 	}
 	const uint64_t slots = std::max<uint64_t>(std::min(this->TotalSlots(now), std::max(service.ceiling, 1U)), 1);
-	const int64_t typical = service.typical_us == 0 ? this->settings.guess.Value() * US_PER_MS : service.typical_us;
+	const int64_t typical =
+			service.typical_us == 0 ? this->settings.initial_latency.Value() * US_PER_MS : service.typical_us;
 	return Millis(static_cast<int64_t>(ahead) * typical / static_cast<int64_t>(slots) / US_PER_MS);
 }
 
-uint32_t PoolGate::ReservedFor(const ServiceState &asking) const
+uint32_t PoolGate::ReservedFor(const ServiceState &applicant) const
 {
-	if (asking.row.work_class == WorkClass::WC_URGENT || this->TypicalOf(asking) < this->settings.long_hold) {
+	if (applicant.row.work_class == WorkClass::WC_URGENT ||
+		this->TypicalLatency(applicant) < this->settings.long_request) {
 		return 0;
 	}
 	uint32_t reserved = 0;
@@ -208,7 +210,7 @@
 	return reserved;
 }
 
-bool PoolGate::MayTake(const ServiceState &service, uint32_t free) const
+bool PoolGate::MayGrant(const ServiceState &service, uint32_t free) const
 {
 	if (service.in_flight >= service.ceiling) {
 		return false;
@@ -222,7 +224,7 @@
 	ServiceState *best = nullptr;
 	Rank best_rank;
 	for (auto &[name, it] : this->services) {
-		if (it.waiting_count == 0 || !this->MayTake(it, free)) {
+		if (it.waiting_count == 0 || !this->MayGrant(it, free)) {
 			continue;
 		}
 		const auto first = std::ranges::find_if(it.waiting, [](const auto &queue) { return !queue.second.empty(); });
@@ -236,7 +238,7 @@
 	return best;
 }
 
-GateDecision PoolGate::Take(ServiceState &service, EndpointState &endpoint, Millis now)
+GateDecision PoolGate::GrantSlot(ServiceState &service, EndpointState &endpoint, Millis now)
 {
 	endpoint.in_flight++;
 	endpoint.peak = std::max(endpoint.peak, endpoint.in_flight);
@@ -246,16 +248,16 @@
 		service.peak_since = now;
 	}
 	this->counters.granted++;
-	GateDecision answer;
-	answer.grant = Grant{endpoint.view.box, endpoint.view.address, endpoint.view.epoch};
-	return answer;
+	GateDecision decision;
+	decision.grant = Grant{endpoint.view.box, endpoint.view.address, endpoint.view.epoch};
+	return decision;
 }
 
 GateDecision PoolGate::Refuse(ResultCode code, const ServiceState *service, Millis now)
 {
-	GateDecision answer;
-	answer.code = code;
-	answer.retry_after = LEAST_RETRY_AFTER;
+	GateDecision decision;
+	decision.code = code;
+	decision.retry_after = MIN_RETRY_AFTER;
 	if (code == ResultCode::RC_QUEUE_FULL) {
 		this->counters.queue_full++;
 	} else if (code == ResultCode::RC_CANNOT_BE_ON_TIME) {
@@ -265,87 +267,87 @@
 	}
 	if (service != nullptr) {
 		const Millis wait = this->WaitFor(*service, WorkClass::WC_BATCH, now + Millis(MS_PER_DAY), now);
-		answer.retry_after = std::max(answer.retry_after, wait);
+		decision.retry_after = std::max(decision.retry_after, wait);
 	}
-	return answer;
+	return decision;
 }
 
-std::optional<GateDecision> PoolGate::RequestSlot(SlotRequest ask, Millis now, SlotRequestId &id)
+std::optional<GateDecision> PoolGate::RequestSlot(SlotRequest request, Millis now, SlotRequestId &id)
 {
 	const std::scoped_lock guard(this->lock);
-	const auto found = this->services.find(ask.service);
+	const auto found = this->services.find(request.service);
 	if (found == this->services.end() || !this->AnyOpen()) {
 		return this->Refuse(ResultCode::RC_NO_ENDPOINT, nullptr, now);
 	}
 	ServiceState &service = found->second;
 	const uint32_t free = this->FreeSlots(now);
 	const bool nobody_waits = service.waiting_count == 0 && this->NextService(free) == nullptr;
-	if (nobody_waits && this->MayTake(service, free)) {
-		if (EndpointState *endpoint = this->Choose(ask.avoid, now); endpoint != nullptr) {
-			return this->Take(service, *endpoint, now);
+	if (nobody_waits && this->MayGrant(service, free)) {
+		if (EndpointState *endpoint = this->Choose(request.avoid, now); endpoint != nullptr) {
+			return this->GrantSlot(service, *endpoint, now);
 		}
 	}
-	if (ask.only_spare) {
+	if (request.only_spare) {
 		return this->Refuse(ResultCode::RC_NO_ENDPOINT, &service, now);
 	}
 	if (service.waiting_count >= this->settings.queue_limit) {
 		return this->Refuse(ResultCode::RC_QUEUE_FULL, &service, now);
 	}
-	const Millis wait = this->WaitFor(service, ask.work_class, ask.deadline, now);
-	if (this->settings.admit_by_deadline && now + wait + this->TypicalOf(service) > ask.deadline) {
+	const Millis wait = this->WaitFor(service, request.work_class, request.deadline, now);
+	if (this->settings.admit_by_deadline && now + wait + this->TypicalLatency(service) > request.deadline) {
 		return this->Refuse(ResultCode::RC_CANNOT_BE_ON_TIME, &service, now);
 	}
 	id = SlotRequestId(++this->last_id);
-	this->where[id] = {ask.service, ask.work_class};
-	auto &queue = service.waiting[ask.work_class];
+	this->queued[id] = {request.service, request.work_class};
+	auto &queue = service.waiting[request.work_class];
 	auto place = queue.end();
 	while (this->settings.admit_by_deadline && place != queue.begin() &&
-		   std::prev(place)->ask.deadline > ask.deadline) {
+		   std::prev(place)->request.deadline > request.deadline) {
 		--place;
 	}
-	queue.insert(place, Waiter{id, std::move(ask)});
+	queue.insert(place, Waiter{id, std::move(request)});
 	service.waiting_count++;
 	return std::nullopt;
 }
 
-bool PoolGate::Withdraw(SlotRequestId id)
+bool PoolGate::CancelRequest(SlotRequestId id)
 {
 	const std::scoped_lock guard(this->lock);
-	const auto it = this->where.find(id);
-	if (it == this->where.end()) {
+	const auto it = this->queued.find(id);
+	if (it == this->queued.end()) {
 		return false;
 	}
 	ServiceState &service = this->services[it->second.first];
 	service.waiting[it->second.second].remove_if([&](const Waiter &waiter) { return waiter.id == id; });
 	service.waiting_count--;
-	this->where.erase(it);
+	this->queued.erase(it);
 	return true;
 }
 
-void PoolGate::DropLate(ServiceState &service, Millis now, Answers &answers)
+void PoolGate::RefuseLate(ServiceState &service, Millis now, Decisions &decisions)
 {
-	const Millis typical = this->TypicalOf(service);
+	const Millis typical = this->TypicalLatency(service);
 	for (auto &[work_class, queue] : service.waiting) {
-		while (!queue.empty() && now + typical > queue.front().ask.deadline) {
-			answers.emplace_back(std::move(queue.front().ask.done),
-								 this->Refuse(ResultCode::RC_CANNOT_BE_ON_TIME, &service, now));
-			this->where.erase(queue.front().id);
+		while (!queue.empty() && now + typical > queue.front().request.deadline) {
+			decisions.emplace_back(std::move(queue.front().request.done),
+								   this->Refuse(ResultCode::RC_CANNOT_BE_ON_TIME, &service, now));
+			this->queued.erase(queue.front().id);
 			queue.pop_front();
 			service.waiting_count--;
 		}
 	}
 }
 
-void PoolGate::Serve(Millis now, Answers &answers)
+void PoolGate::GrantWaiting(Millis now, Decisions &decisions)
 {
-	if (this->gained_from <= now) {
+	if (this->gained_usable_from <= now) {
 		for (auto &[box, it] : this->endpoints) {
 			it.base = it.view.share;
 		}
 	}
 	if (this->settings.admit_by_deadline) {
 		for (auto &[name, service] : this->services) {
-			this->DropLate(service, now, answers);
+			this->RefuseLate(service, now, decisions);
 		}
 	}
 	std::vector<std::pair<ServiceState *, Waiter>> skipped;
@@ -358,25 +360,25 @@
 		Waiter next = std::move(queue.front());
 		queue.pop_front();
 		service->waiting_count--;
-		EndpointState *endpoint = this->Choose(next.ask.avoid, now);
+		EndpointState *endpoint = this->Choose(next.request.avoid, now);
 		if (endpoint == nullptr) {
 			/* Only endpoints that failed this request have room: it waits on, others go first. */
 			skipped.emplace_back(service, std::move(next));
 			continue;
 		}
-		this->where.erase(next.id);
-		answers.emplace_back(std::move(next.ask.done), this->Take(*service, *endpoint, now));
+		this->queued.erase(next.id);
+		decisions.emplace_back(std::move(next.request.done), this->GrantSlot(*service, *endpoint, now));
 	}
 	for (auto it = skipped.rbegin(); it != skipped.rend(); ++it) {
 		auto &[service, waiter] = *it;
-		service->waiting[waiter.ask.work_class].push_front(std::move(waiter));
+		service->waiting[waiter.request.work_class].push_front(std::move(waiter));
 		service->waiting_count++;
 	}
 }
 
 void PoolGate::Release(const BoxName &box, const ServiceName &service, CallOutcome outcome, Millis held, Millis now)
 {
-	Answers answers;
+	Decisions decisions;
 	{
 		const std::scoped_lock guard(this->lock);
 		ServiceState &owner = this->services[service];
@@ -392,29 +394,29 @@
 				(outcome == CallOutcome::CO_SERVER_ERROR && held.Value() * US_PER_MS > it.typical_us)) {
 				it.typical_us = Smooth(it.typical_us, held.Value() * US_PER_MS);
 			}
-			this->Judge(it, outcome, now);
-			if (Forgettable(it)) {
+			this->UpdateHealth(it, outcome, now);
+			if (Removable(it)) {
 				this->endpoints.erase(found);
 			}
 		}
-		this->Serve(now, answers);
+		this->GrantWaiting(now, decisions);
 	}
-	Send(answers);
+	Deliver(decisions);
 }
 
-void PoolGate::Judge(EndpointState &it, CallOutcome outcome, Millis now)
+void PoolGate::UpdateHealth(EndpointState &it, CallOutcome outcome, Millis now)
 {
 	const bool bad = outcome == CallOutcome::CO_SERVER_ERROR || outcome == CallOutcome::CO_CONNECTION_FAILED;
 	if (outcome == CallOutcome::CO_CANCELLED) {
 		return;
 	}
 	if (outcome == CallOutcome::CO_REFUSED) {
-		it.refused_until = now + Millis(REFUSED_PAUSE.Value() << std::min(it.refusals, REFUSED_DOUBLINGS));
+		it.refused_until = now + Millis(REFUSAL_BACKOFF.Value() << std::min(it.refusals, MAX_REFUSAL_DOUBLINGS));
 		it.refusals++;
 		return;
 	}
 	it.refusals = 0;
-	it.error_score = (it.error_score * (SMOOTHING - 1) + (bad ? SCORE_FULL : 0)) / SMOOTHING;
+	it.error_score = (it.error_score * (SMOOTHING - 1) + (bad ? MAX_ERROR_SCORE : 0)) / SMOOTHING;
 	if (!bad) {
 		it.failures = 0;
 		it.ejections = 0;
@@ -422,11 +424,11 @@
 	}
 	if (outcome == CallOutcome::CO_CONNECTION_FAILED) {
 		it.failures++;
-	} else if (it.error_score >= SCORE_BAD) {
+	} else if (it.error_score >= EJECT_ERROR_SCORE) {
 		/* Errors may be the callers' own doing: they count only while most others of the pool do without. */
-		const auto well = std::ranges::count_if(
-				this->endpoints, [](const auto &other) { return other.second.error_score < SCORE_BAD / 2; });
-		it.failures += static_cast<size_t>(well) * 2 > this->endpoints.size() ? 1 : 0;
+		const auto healthy = std::ranges::count_if(
+				this->endpoints, [](const auto &other) { return other.second.error_score < EJECT_ERROR_SCORE / 2; });
+		it.failures += static_cast<size_t>(healthy) * 2 > this->endpoints.size() ? 1 : 0;
 	}
 	if (it.failures >= this->settings.eject_after) {
 		this->Eject(it, now);
@@ -456,18 +458,18 @@
 
 void PoolGate::Tick(Millis now)
 {
-	Answers answers;
+	Decisions decisions;
 	{
 		const std::scoped_lock guard(this->lock);
-		this->Serve(now, answers);
+		this->GrantWaiting(now, decisions);
 	}
-	Send(answers);
+	Deliver(decisions);
 }
 
-void PoolGate::Send(Answers &answers)
+void PoolGate::Deliver(Decisions &decisions)
 {
-	for (auto &[done, answer] : answers) {
-		done(answer);
+	for (auto &[done, decision] : decisions) {
+		done(decision);
 	}
 }
 
@@ -504,5 +506,5 @@
 size_t PoolGate::Waiting() const
 {
 	const std::scoped_lock guard(this->lock);
-	return this->where.size();
+	return this->queued.size();
 }
--- a/src/request/pool_gate.h
+++ b/src/request/pool_gate.h
@@ -50,7 +50,7 @@
 	std::function<void(GateDecision)> done; ///< Gets a later answer; called on any thread, without locks held.
 };
 
-using SlotRequestId = Strong<struct AskIdTag, uint64_t>; ///< A request waiting at a gate; 0 is "none".
+using SlotRequestId = Strong<struct SlotRequestIdTag, uint64_t>; ///< A request waiting at a gate; 0 is "none".
 
 /** How a request on an endpoint ended, for passive health. */
 enum class CallOutcome : uint8_t {
@@ -63,17 +63,17 @@
 
 /** How a gate is set. */
 struct GateSettings {
-	size_t queue_limit = 256;         ///< Waiting requests per service.
-	Millis eject_base = Millis(1000); ///< First ejection; doubles with each in a row.
-	Millis eject_max = Millis(30000); ///< Longest ejection.
-	uint32_t eject_after = 3;         ///< Failures in a row that eject.
-	uint32_t eject_cap_percent = 34;  ///< Share of a pool's endpoints that may be ejected at once.
-	Millis guess = Millis(20);        ///< Time a request takes, before any was seen.
-	Millis long_hold = Millis(500);   ///< Services that hold slots longer leave room for urgent ones.
-	bool admit_by_deadline = true;    ///< Drop what can't be on time. Off only as a baseline of the bench.
-	Millis borrow_idle = Millis(100); ///< Borrowed slots that no request needed for so long go back.
-	bool two_choices = true;          ///< Two random choices; off (round robin) only as a baseline.
-	bool eject = true;                ///< Passive ejection; off only as a baseline.
+	size_t queue_limit = 256;            ///< Waiting requests per service.
+	Millis eject_base = Millis(1000);    ///< First ejection; doubles with each in a row.
+	Millis eject_max = Millis(30000);    ///< Longest ejection.
+	uint32_t eject_after = 3;            ///< Failures in a row that eject.
+	uint32_t eject_cap_percent = 34;     ///< Share of a pool's endpoints that may be ejected at once.
+	Millis initial_latency = Millis(20); ///< Time a request takes, before any was seen.
+	Millis long_request = Millis(500);   ///< Services that hold slots longer leave room for urgent ones.
+	bool admit_by_deadline = true;       ///< Drop what can't be on time. Off only as a baseline of the bench.
+	Millis borrow_idle = Millis(100);    ///< Borrowed slots that no request needed for so long go back.
+	bool two_choices = true;             ///< Two random choices; off (round robin) only as a baseline.
+	bool eject = true;                   ///< Passive ejection; off only as a baseline.
 };
 
 /** Counters of a gate. */
@@ -110,12 +110,12 @@
 	 * Takes over endpoints and services of a new view.
 	 * @param endpoints Endpoints of the own zone.
 	 * @param rows Services of the pool.
-	 * @param ceiling_scale Own share of the whole pool's slots, in millionths: ceilings hold fleet-wide.
-	 * @param gained_from Shares that grew count from then on: until then others may still use them.
+	 * @param share_scale Own share of the whole pool's slots, in millionths: ceilings hold fleet-wide.
+	 * @param gained_usable_from Shares that grew count from then on: until then others may still use them.
 	 * @param now Lane's clock.
 	 */
-	void Update(const std::vector<GateEndpoint> &endpoints, const std::vector<ServiceRow> &rows, uint64_t ceiling_scale,
-				Millis gained_from, Millis now);
+	void Update(const std::vector<GateEndpoint> &endpoints, const std::vector<ServiceRow> &rows, uint64_t share_scale,
+				Millis gained_usable_from, Millis now);
 
 	/**
 	 * Asks for a slot.
@@ -124,14 +124,14 @@
 	 * @param[out] id For Withdraw(), when no answer is returned.
 	 * @return An answer at once, or nothing: `ask.done` will get it.
 	 */
-	std::optional<GateDecision> RequestSlot(SlotRequest ask, Millis now, SlotRequestId &id);
+	std::optional<GateDecision> RequestSlot(SlotRequest request, Millis now, SlotRequestId &id);
 
 	/**
 	 * Takes a waiting request out.
 	 * @param id The request.
 	 * @return Whether it still waited; if not, its answer was given or is on its way.
 	 */
-	bool Withdraw(SlotRequestId id);
+	bool CancelRequest(SlotRequestId id);
 
 	/**
 	 * Gives a slot back.
@@ -154,13 +154,13 @@
 	 * @param now Lane's clock.
 	 * @return Requests that wait although their service might take more.
 	 */
-	[[nodiscard]] uint32_t Wanted(Millis now) const;
+	[[nodiscard]] uint32_t SlotDemand(Millis now) const;
 
 	/**
 	 * Lends idle slots of the own share. Nothing is lent while requests wait here.
 	 * @param most Most slots.
 	 * @param now Lane's clock.
-	 * @return What is lent; it is gone until TakeBack().
+	 * @return What is lent; it is gone until ReclaimSlots().
 	 */
 	SlotCounts Lend(uint32_t most, Millis now);
 
@@ -169,7 +169,7 @@
 	 * @param slots The slots.
 	 * @param now Lane's clock.
 	 */
-	void TakeBack(const SlotCounts &slots, Millis now);
+	void ReclaimSlots(const SlotCounts &slots, Millis now);
 
 	/**
 	 * Slots were lent to this entry.
@@ -192,10 +192,10 @@
 	 * @param now Lane's clock.
 	 * @return What goes back; this entry does not use it any more.
 	 */
-	SlotCounts GiveBack(const MemberName &lender, Millis now);
+	SlotCounts ReturnSlots(const MemberName &lender, Millis now);
 
 	/** @return Slots lent and not back yet. */
-	[[nodiscard]] uint32_t LentOut() const;
+	[[nodiscard]] uint32_t LentSlots() const;
 
 	/** @return Endpoints that are being drained under a permit, with nothing in flight from this entry. */
 	[[nodiscard]] std::vector<GateEndpoint> Drained() const;
@@ -232,15 +232,15 @@
 	};
 
 	/** Slots borrowed from one lender. */
-	struct Debt {
+	struct BoxLoan {
 		uint32_t owed = 0;     ///< Slots.
 		uint32_t recalled = 0; ///< Part of them that the lender needs.
 	};
 
 	/** A waiting request. */
 	struct Waiter {
-		SlotRequestId id; ///< For Withdraw().
-		SlotRequest ask;  ///< The request.
+		SlotRequestId id;    ///< For Withdraw().
+		SlotRequest request; ///< The request.
 	};
 
 	/** A service's queue and use. */
@@ -256,41 +256,41 @@
 		size_t waiting_count = 0;                       ///< Waiters of all classes.
 	};
 
-	using Answers = std::vector<std::pair<std::function<void(GateDecision)>, GateDecision>>;
-
-	mutable std::mutex lock;                                          ///< Guards all that follows.
-	GateSettings settings;                                            ///< Limits.
-	boost::random::mt19937_64 random;                                 ///< Random choices.
-	std::map<BoxName, EndpointState> endpoints;                       ///< Endpoints.
-	std::map<ServiceName, ServiceState> services;                     ///< Services.
-	std::map<SlotRequestId, std::pair<ServiceName, WorkClass>> where; ///< Where a waiter stands.
-	uint64_t last_id = 0;                                             ///< Last waiter.
-	std::map<MemberName, std::map<BoxName, Debt>> debts;              ///< Borrowed slots by lender.
-	uint64_t round_robin = 0;                                         ///< Next choice of the baseline.
-	Millis gained_from;                                               ///< When shares that grew begin to count.
-	GateCounters counters;                                            ///< Counters.
-
-	[[nodiscard]] static bool Forgettable(const EndpointState &it);
-	void TurnWindow(EndpointState &it, Millis now) const;
+	using Decisions = std::vector<std::pair<std::function<void(GateDecision)>, GateDecision>>;
+
+	mutable std::mutex lock;                                           ///< Guards all that follows.
+	GateSettings settings;                                             ///< Limits.
+	boost::random::mt19937_64 random;                                  ///< Random choices.
+	std::map<BoxName, EndpointState> endpoints;                        ///< Endpoints.
+	std::map<ServiceName, ServiceState> services;                      ///< Services.
+	std::map<SlotRequestId, std::pair<ServiceName, WorkClass>> queued; ///< Where a waiter stands.
+	uint64_t last_id = 0;                                              ///< Last waiter.
+	std::map<MemberName, std::map<BoxName, BoxLoan>> loans_by_lender;  ///< Borrowed slots by lender.
+	uint64_t round_robin = 0;                                          ///< Next choice of the baseline.
+	Millis gained_usable_from;                                         ///< When shares that grew begin to count.
+	GateCounters counters;                                             ///< Counters.
+
+	[[nodiscard]] static bool Removable(const EndpointState &it);
+	void AdvanceWindow(EndpointState &it, Millis now) const;
 	[[nodiscard]] static uint32_t LimitOf(const EndpointState &it);
 	EndpointState *Choose(const std::set<BoxName> &avoid, Millis now);
-	EndpointState *Better(EndpointState *a, EndpointState *b) const;
+	EndpointState *LessLoaded(EndpointState *a, EndpointState *b) const;
 	[[nodiscard]] bool Usable(const EndpointState &it, Millis now) const;
 	[[nodiscard]] bool AnyOpen() const;
 	[[nodiscard]] uint32_t FreeSlots(Millis now) const;
 	[[nodiscard]] uint32_t TotalSlots(Millis now) const;
-	[[nodiscard]] uint32_t ReservedFor(const ServiceState &asking) const;
-	[[nodiscard]] bool MayTake(const ServiceState &service, uint32_t free) const;
+	[[nodiscard]] uint32_t ReservedFor(const ServiceState &applicant) const;
+	[[nodiscard]] bool MayGrant(const ServiceState &service, uint32_t free) const;
 	ServiceState *NextService(uint32_t free);
-	GateDecision Take(ServiceState &service, EndpointState &endpoint, Millis now);
-	[[nodiscard]] Millis TypicalOf(const ServiceState &service) const;
+	GateDecision GrantSlot(ServiceState &service, EndpointState &endpoint, Millis now);
+	[[nodiscard]] Millis TypicalLatency(const ServiceState &service) const;
 	[[nodiscard]] Millis WaitFor(const ServiceState &service, WorkClass work_class, Millis deadline, Millis now) const;
-	void DropLate(ServiceState &service, Millis now, Answers &answers);
-	void Serve(Millis now, Answers &answers);
-	void Judge(EndpointState &it, CallOutcome outcome, Millis now);
+	void RefuseLate(ServiceState &service, Millis now, Decisions &decisions);
+	void GrantWaiting(Millis now, Decisions &decisions);
+	void UpdateHealth(EndpointState &it, CallOutcome outcome, Millis now);
 	void Eject(EndpointState &it, Millis now);
 	GateDecision Refuse(ResultCode code, const ServiceState *service, Millis now);
-	static void Send(Answers &answers);
+	static void Deliver(Decisions &decisions);
 };
 
 #endif /* POOL_GATE_H */
--- a/src/request/pool_gate_lend.cpp
+++ b/src/request/pool_gate_lend.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-uint32_t PoolGate::Wanted(Millis now) const
+uint32_t PoolGate::SlotDemand(Millis now) const
 {
 	const std::scoped_lock guard(this->lock);
 	uint32_t wanted = 0;
@@ -19,7 +19,7 @@
 {
 	const std::scoped_lock guard(this->lock);
 	SlotCounts slots;
-	if (!this->where.empty()) {
+	if (!this->queued.empty()) {
 		return slots;
 	}
 	uint32_t left = most;
@@ -37,9 +37,9 @@
 	return slots;
 }
 
-void PoolGate::TakeBack(const SlotCounts &slots, Millis now)
+void PoolGate::ReclaimSlots(const SlotCounts &slots, Millis now)
 {
-	Answers answers;
+	Decisions decisions;
 	{
 		const std::scoped_lock guard(this->lock);
 		for (const auto &[box, count] : slots) {
@@ -47,14 +47,14 @@
 				it->second.lent -= std::min(it->second.lent, count);
 			}
 		}
-		this->Serve(now, answers);
+		this->GrantWaiting(now, decisions);
 	}
-	Send(answers);
+	Deliver(decisions);
 }
 
 void PoolGate::Borrow(const MemberName &lender, const SlotCounts &slots, Millis now)
 {
-	Answers answers;
+	Decisions decisions;
 	{
 		const std::scoped_lock guard(this->lock);
 		for (const auto &[box, count] : slots) {
@@ -63,25 +63,25 @@
 			it.listed = it.view.box == box && it.listed;
 			it.view.open = it.view.box == box && it.view.open;
 			it.borrowed += count;
-			this->debts[lender][box].owed += count;
+			this->loans_by_lender[lender][box].owed += count;
 		}
-		this->Serve(now, answers);
+		this->GrantWaiting(now, decisions);
 	}
-	Send(answers);
+	Deliver(decisions);
 }
 
 void PoolGate::Recall(const MemberName &lender, uint32_t count)
 {
 	const std::scoped_lock guard(this->lock);
-	const auto debt = this->debts.find(lender);
-	if (debt == this->debts.end()) {
+	const auto loan = this->loans_by_lender.find(lender);
+	if (loan == this->loans_by_lender.end()) {
 		return;
 	}
 	uint32_t left = count;
-	for (auto &[box, it] : debt->second) {
+	for (auto &[box, it] : loan->second) {
 		left -= std::min(left, it.recalled);
 	}
-	for (auto &[box, it] : debt->second) {
+	for (auto &[box, it] : loan->second) {
 		const uint32_t more = std::min(left, it.owed - it.recalled);
 		it.recalled += more;
 		this->endpoints[box].recalled += more;
@@ -89,37 +89,37 @@
 	}
 }
 
-SlotCounts PoolGate::GiveBack(const MemberName &lender, Millis now)
+SlotCounts PoolGate::ReturnSlots(const MemberName &lender, Millis now)
 {
 	const std::scoped_lock guard(this->lock);
 	SlotCounts back;
-	const auto debts_to = this->debts.find(lender);
-	if (debts_to == this->debts.end()) {
+	const auto from_lender = this->loans_by_lender.find(lender);
+	if (from_lender == this->loans_by_lender.end()) {
 		return back;
 	}
-	for (auto &[box, debt] : debts_to->second) {
+	for (auto &[box, loan] : from_lender->second) {
 		EndpointState &it = this->endpoints[box];
-		this->TurnWindow(it, now);
+		this->AdvanceWindow(it, now);
 		const uint32_t all = LimitOf(it) + it.recalled;
 		const uint32_t free = all > it.in_flight ? all - it.in_flight : 0;
-		const uint32_t kept = it.view.open ? std::max({it.peak, it.last_peak, it.in_flight}) : it.in_flight;
-		const uint32_t idle = all > kept ? all - kept : 0;
-		const uint32_t count = std::max(std::min(free, debt.recalled), std::min(idle, debt.owed));
+		const uint32_t needed = it.view.open ? std::max({it.peak, it.last_peak, it.in_flight}) : it.in_flight;
+		const uint32_t idle = all > needed ? all - needed : 0;
+		const uint32_t count = std::max(std::min(free, loan.recalled), std::min(idle, loan.owed));
 		if (count == 0) {
 			continue;
 		}
-		const uint32_t recalled = std::min(debt.recalled, count);
+		const uint32_t recalled = std::min(loan.recalled, count);
 		it.borrowed -= count;
 		it.recalled -= recalled;
-		debt.recalled -= recalled;
-		debt.owed -= count;
+		loan.recalled -= recalled;
+		loan.owed -= count;
 		back[box] = count;
 	}
-	std::erase_if(debts_to->second, [](const auto &it) { return it.second.owed == 0; });
+	std::erase_if(from_lender->second, [](const auto &it) { return it.second.owed == 0; });
 	return back;
 }
 
-void PoolGate::TurnWindow(EndpointState &it, Millis now) const
+void PoolGate::AdvanceWindow(EndpointState &it, Millis now) const
 {
 	if (it.window + this->settings.borrow_idle <= now) {
 		it.last_peak = it.peak;
@@ -128,7 +128,7 @@
 	}
 }
 
-uint32_t PoolGate::LentOut() const
+uint32_t PoolGate::LentSlots() const
 {
 	const std::scoped_lock guard(this->lock);
 	uint32_t lent = 0;
--- a/src/request/request_path.cpp
+++ b/src/request/request_path.cpp
@@ -39,7 +39,7 @@
 {
 }
 
-void RequestPath::NoteLatency(const ServiceName &service, double ms)
+void RequestPath::RecordLatency(const ServiceName &service, double ms)
 {
 	LatencyMeter *meter = nullptr;
 	{
--- a/src/request/request_path.h
+++ b/src/request/request_path.h
@@ -118,7 +118,7 @@
 	 * @param service Its service.
 	 * @param ms Its time.
 	 */
-	void NoteLatency(const ServiceName &service, double ms);
+	void RecordLatency(const ServiceName &service, double ms);
 
 	/** @return Latencies by service. */
 	[[nodiscard]] std::map<ServiceName, LatencyMeter::Summary> Latencies() const;
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -14,8 +14,8 @@
 	 * @param percent Tokens per hundred successes.
 	 * @param most Most retries that can be saved up; the bucket starts full.
 	 */
-	explicit RetryBudget(uint32_t percent = 10, uint32_t most = 20)
-			: percent(percent), most(int64_t{most} * SCALE), tokens(int64_t{most} * SCALE)
+	explicit RetryBudget(uint32_t percent = 10, uint32_t capacity = 20)
+			: percent(percent), capacity(int64_t{capacity} * SCALE), tokens(int64_t{capacity} * SCALE)
 	{
 	}
 
@@ -23,8 +23,8 @@
 	void OnSuccess()
 	{
 		const int64_t now = this->tokens.fetch_add(this->percent) + this->percent;
-		if (now > this->most) {
-			this->tokens.fetch_sub(std::min<int64_t>(now - this->most, this->percent));
+		if (now > this->capacity) {
+			this->tokens.fetch_sub(std::min<int64_t>(now - this->capacity, this->percent));
 		}
 	}
 
@@ -35,7 +35,7 @@
 	int64_t AddRetry() { return (this->tokens.fetch_add(SCALE) + SCALE) / SCALE; }
 
 	/** @return Whether a retry may be made; it is paid for when so. */
-	bool Spend()
+	bool TrySpend()
 	{
 		if (this->tokens.fetch_sub(SCALE) >= SCALE) {
 			return true;
@@ -48,7 +48,7 @@
 	static constexpr int64_t SCALE = 100; ///< Tokens that a retry costs.
 
 	int64_t percent;             ///< Tokens per success.
-	int64_t most;                ///< Largest content.
+	int64_t capacity;            ///< Largest content.
 	std::atomic<int64_t> tokens; ///< Content.
 };
 
--- a/src/request/route_table.cpp
+++ b/src/request/route_table.cpp
@@ -11,7 +11,7 @@
 
 /** Joins fields for hashing. */
 template <class... Parts>
-std::string Fields(const Parts &...parts)
+std::string JoinFields(const Parts &...parts)
 {
 	std::string text;
 	const auto add = [&](const auto &part) {
@@ -28,26 +28,27 @@
 
 uint64_t HashOf(const glade::wire::ViewEndpointT &it)
 {
-	return HashText(Fields("e", it.box, it.pool, it.zone, it.rack, it.address, it.slots, it.epoch, it.open, it.permit));
+	return HashText(
+			JoinFields("e", it.box, it.pool, it.zone, it.rack, it.address, it.slots, it.epoch, it.open, it.permit));
 }
 
 uint64_t HashOf(const ServiceRow &it)
 {
-	return HashText(Fields("r", it.service.Value(), it.pool.Value(), it.weight, it.floor.Value(), it.ceiling.Value(),
-						   static_cast<int>(it.work_class), it.repeatable));
+	return HashText(JoinFields("r", it.service.Value(), it.pool.Value(), it.weight, it.floor.Value(),
+							   it.ceiling.Value(), static_cast<int>(it.work_class), it.repeatable));
 }
 
 uint64_t HashOf(const Peer &it)
 {
-	return HashText(Fields("p", it.name.Value(), it.zone.Value(), it.address, it.frames, it.incarnation.Value()));
+	return HashText(JoinFields("p", it.name.Value(), it.zone.Value(), it.address, it.frames, it.incarnation.Value()));
 }
 
 uint64_t HashOf(const PoolName &pool, uint32_t slots)
 {
-	return HashText(Fields("s", pool.Value(), slots));
+	return HashText(JoinFields("s", pool.Value(), slots));
 }
 
-ServiceRow RowOf(const glade::wire::ViewRowT &it)
+ServiceRow ParseRow(const glade::wire::ViewRowT &it)
 {
 	ServiceRow row;
 	row.service = ServiceName(it.service);
@@ -60,7 +61,7 @@
 	return row;
 }
 
-Peer PeerOf(const glade::wire::ViewPeerT &it)
+Peer ParsePeer(const glade::wire::ViewPeerT &it)
 {
 	return Peer{MemberName(it.member), ZoneName(it.zone), it.address, it.frames, Incarnation(it.incarnation)};
 }
@@ -74,10 +75,10 @@
 		sum += HashOf(*it);
 	}
 	for (const auto &it : view.rows) {
-		sum += HashOf(RowOf(*it));
+		sum += HashOf(ParseRow(*it));
 	}
 	for (const auto &it : view.peers) {
-		sum += HashOf(PeerOf(*it));
+		sum += HashOf(ParsePeer(*it));
 	}
 	for (const auto &it : view.pools) {
 		sum += HashOf(PoolName(it->pool), it->slots);
@@ -126,10 +127,10 @@
 		this->endpoints[BoxName(it->box)] = *it;
 	}
 	for (const auto &it : view.rows) {
-		this->rows[ServiceName(it->service)] = RowOf(*it);
+		this->rows[ServiceName(it->service)] = ParseRow(*it);
 	}
 	for (const auto &it : view.peers) {
-		this->peers[MemberName(it->member)] = PeerOf(*it);
+		this->peers[MemberName(it->member)] = ParsePeer(*it);
 	}
 	/* Pools are few: a view that changes any of them carries all. */
 	if (!view.pools.empty()) {
@@ -140,7 +141,7 @@
 	}
 }
 
-void RouteTable::NoteMembership(const glade::wire::ViewT &view)
+void RouteTable::RecordMembership(const glade::wire::ViewT &view)
 {
 	if (view.zone_changes == this->zone_changes && !this->history.empty()) {
 		return;
@@ -161,7 +162,7 @@
 	const std::vector<Peer> zone = this->EntriesOf(this->self.zone);
 	if (zone != this->gate_peers) {
 		/* Others with the old view may use these slots for as long as their lease lasts. */
-		this->gained_from = zone.size() > 1 || !this->gate_peers.empty() ? now + this->times.settle : now;
+		this->gained_usable_from = zone.size() > 1 || !this->gate_peers.empty() ? now + this->times.settle : now;
 		this->gate_peers = zone;
 	}
 	std::map<PoolName, std::vector<GateEndpoint>> by_pool;
@@ -186,7 +187,8 @@
 			gate = std::make_shared<PoolGate>(this->gate_settings, HashText(this->self.name.Value() + pool.Value()));
 		}
 		const uint64_t all = std::max<uint64_t>(this->pool_slots[pool], 1);
-		gate->Update(list, rows_of[pool], std::min(own_slots[pool] * MILLION / all, MILLION), this->gained_from, now);
+		gate->Update(list, rows_of[pool], std::min(own_slots[pool] * MILLION / all, MILLION), this->gained_usable_from,
+					 now);
 	}
 }
 
@@ -220,7 +222,7 @@
 	}
 	this->version = view.version;
 	this->offset = LogOffset(view.offset);
-	this->NoteMembership(view);
+	this->RecordMembership(view);
 	this->UpdateGates(now);
 	return ResultCode::RC_OK;
 }
--- a/src/request/route_table.h
+++ b/src/request/route_table.h
@@ -131,13 +131,13 @@
 	uint64_t hash = 0;                                       ///< Its hash.
 	LogOffset offset;                                        ///< Its log offset.
 	std::vector<Peer> gate_peers;                            ///< Entries of the zone at the last update of gates.
-	Millis gained_from;                                      ///< When slots gained by the last change may be used.
+	Millis gained_usable_from;                               ///< When slots gained by the last change may be used.
 	uint64_t zone_changes = 0;                               ///< Membership changes of the zone.
 	std::deque<ZoneEntries> history;                         ///< Entries of the zone, oldest first.
 	Millis lease_until = Millis(-MS_PER_DAY);                ///< End of the lease.
 
 	void ApplyParts(const glade::wire::ViewT &view);
-	void NoteMembership(const glade::wire::ViewT &view);
+	void RecordMembership(const glade::wire::ViewT &view);
 	void UpdateGates(Millis now);
 	[[nodiscard]] std::vector<Peer> EntriesOf(const ZoneName &zone) const;
 	[[nodiscard]] ResultCode CheckOwnership(const std::string &text, Millis made, Millis now) const;
--- a/src/request/slot_broker.cpp
+++ b/src/request/slot_broker.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr Millis ASK_SELDOM(640); ///< Longest pause between two requests, while nobody lends.
-constexpr Millis ASK_EVERY(20);   ///< Shortest time between two requests for slots of a pool.
-constexpr Millis ASK_ALL(160);    ///< From this pause on all peers are asked at once.
-constexpr Millis WANT_LASTS(700); ///< How long a request for slots that could not be met is remembered.
-constexpr uint32_t ASK_AHEAD = 2; ///< Slots asked for beyond what waits: load that comes will want them.
+constexpr Millis MAX_ASK_INTERVAL(640);   ///< Longest pause between two requests, while nobody lends.
+constexpr Millis MIN_ASK_INTERVAL(20);    ///< Shortest time between two requests for slots of a pool.
+constexpr Millis BROADCAST_INTERVAL(160); ///< From this pause on all peers are asked at once.
+constexpr Millis WANT_TIMEOUT(700);       ///< How long a request for slots that could not be met is remembered.
+constexpr uint32_t EXTRA_SLOTS = 2;       ///< Slots asked for beyond what waits: load that comes will want them.
 
 /** Builds a message around its body. */
 template <class T>
-MessageUnion MailOf(T body)
+MessageUnion MakeMessage(T body)
 {
 	MessageUnion message;
 	message.Set(std::move(body));
@@ -24,7 +24,7 @@
 
 /** Reads the slots of a message. */
 template <class T>
-SlotCounts CountsOf(const T &message)
+SlotCounts ReadCounts(const T &message)
 {
 	SlotCounts slots;
 	for (size_t i = 0; i < std::min(message.boxes.size(), message.counts.size()); i++) {
@@ -35,7 +35,7 @@
 
 /** Writes slots into a message. */
 template <class T>
-void PutCounts(T &message, const SlotCounts &slots)
+void WriteCounts(T &message, const SlotCounts &slots)
 {
 	for (const auto &[box, count] : slots) {
 		message.boxes.push_back(box.Value());
@@ -43,7 +43,7 @@
 	}
 }
 
-uint32_t SumOf(const SlotCounts &slots)
+uint32_t TotalOf(const SlotCounts &slots)
 {
 	uint32_t sum = 0;
 	for (const auto &[box, count] : slots) {
@@ -54,15 +54,17 @@
 
 } // namespace
 
-SlotBroker::SlotBroker(Scheduler &scheduler, RouteTable &routes, MemberName self, SlotTransport &mail, Millis patience)
-		: scheduler(scheduler), routes(routes), self(std::move(self)), mail(mail), patience(patience)
+SlotBroker::SlotBroker(Scheduler &scheduler, RouteTable &routes, MemberName self, SlotTransport &transport,
+					   Millis reclaim_delay)
+		: scheduler(scheduler), routes(routes), self(std::move(self)), transport(transport),
+		  reclaim_delay(reclaim_delay)
 {
 }
 
 bool SlotBroker::Send(const Peer &to, const MessageUnion &message)
 {
 	this->counters.messages++;
-	return this->mail.Send(to, message);
+	return this->transport.Send(to, message);
 }
 
 std::optional<Peer> SlotBroker::FindPeer(const std::string &name) const
@@ -77,36 +79,36 @@
 	std::vector<Peer> peers = this->routes.ZonePeers();
 	std::erase_if(peers, [&](const Peer &it) { return it.name == this->self; });
 	for (const auto &[pool, gate] : this->routes.Gates()) {
-		if (gate->Wanted(this->scheduler.Now()) > 0) {
-			this->Ask(pool, *gate, peers);
+		if (gate->SlotDemand(this->scheduler.Now()) > 0) {
+			this->RequestSlots(pool, *gate, peers);
 		}
 	}
-	this->Return(peers);
-	this->MeetOpenWants();
-	this->WriteOff(peers);
+	this->ReturnIdleSlots(peers);
+	this->LendToPending();
+	this->ReclaimFromAbsent(peers);
 }
 
-void SlotBroker::Ask(const PoolName &pool, PoolGate &gate, const std::vector<Peer> &peers)
+void SlotBroker::RequestSlots(const PoolName &pool, PoolGate &gate, const std::vector<Peer> &peers)
 {
 	const Millis now = this->scheduler.Now();
-	Asking &state = this->asking[pool];
-	if (peers.empty() || state.last + state.pause > now) {
+	AskBackoff &state = this->backoffs[pool];
+	if (peers.empty() || state.last + state.interval > now) {
 		return;
 	}
 	/* When everybody is busy, asking often helps nobody. */
-	state.pause = state.answered ? ASK_EVERY : std::min(Millis(state.pause.Value() * 2), ASK_SELDOM);
+	state.interval = state.answered ? MIN_ASK_INTERVAL : std::min(Millis(state.interval.Value() * 2), MAX_ASK_INTERVAL);
 	state.answered = false;
 	state.last = now;
 	/* What this entry has lent itself comes first: then nobody else needs to give. */
-	if (gate.LentOut() > 0) {
-		this->Recall(pool, gate.Wanted(now), peers);
+	if (gate.LentSlots() > 0) {
+		this->Recall(pool, gate.SlotDemand(now), peers);
 	}
 	SlotWantT want;
 	want.from = this->self.Value();
 	want.pool = pool.Value();
-	want.count = gate.Wanted(now) + ASK_AHEAD;
-	const MessageUnion message = MailOf(std::move(want));
-	if (state.pause < ASK_ALL) {
+	want.count = gate.SlotDemand(now) + EXTRA_SLOTS;
+	const MessageUnion message = MakeMessage(std::move(want));
+	if (state.interval < BROADCAST_INTERVAL) {
 		this->Send(peers[this->next_peer[pool]++ % peers.size()], message);
 	} else {
 		std::ranges::for_each(peers, [&](const Peer &it) { this->Send(it, message); });
@@ -119,31 +121,31 @@
 	for (const auto &[name, loan] : this->loans) {
 		const auto slots = loan.slots.find(pool);
 		const auto peer = std::ranges::find(peers, name, &Peer::name);
-		const uint32_t here = slots == loan.slots.end() ? 0 : std::min(SumOf(slots->second), left);
-		if (here > 0 && peer != peers.end()) {
-			left -= here;
+		const uint32_t recallable = slots == loan.slots.end() ? 0 : std::min(TotalOf(slots->second), left);
+		if (recallable > 0 && peer != peers.end()) {
+			left -= recallable;
 			SlotRecallT recall;
 			recall.from = this->self.Value();
 			recall.pool = pool.Value();
-			recall.count = here;
-			this->Send(*peer, MailOf(std::move(recall)));
+			recall.count = recallable;
+			this->Send(*peer, MakeMessage(std::move(recall)));
 		}
 	}
 }
 
-void SlotBroker::Return(const std::vector<Peer> &peers)
+void SlotBroker::ReturnIdleSlots(const std::vector<Peer> &peers)
 {
 	for (const auto &[pool, gate] : this->routes.Gates()) {
 		for (const Peer &lender : peers) {
-			const SlotCounts slots = gate->GiveBack(lender.name, this->scheduler.Now());
+			const SlotCounts slots = gate->ReturnSlots(lender.name, this->scheduler.Now());
 			if (slots.empty()) {
 				continue;
 			}
 			SlotReturnT back;
 			back.from = this->self.Value();
 			back.pool = pool.Value();
-			PutCounts(back, slots);
-			if (!this->Send(lender, MailOf(std::move(back)))) {
+			WriteCounts(back, slots);
+			if (!this->Send(lender, MakeMessage(std::move(back)))) {
 				/* Nobody there now: kept, to be given back later. */
 				gate->Borrow(lender.name, slots, this->scheduler.Now());
 			}
@@ -151,32 +153,32 @@
 	}
 }
 
-void SlotBroker::WriteOff(const std::vector<Peer> &peers)
+void SlotBroker::ReclaimFromAbsent(const std::vector<Peer> &peers)
 {
 	const Millis now = this->scheduler.Now();
 	for (auto &[name, loan] : this->loans) {
 		const auto peer = std::ranges::find(peers, name, &Peer::name);
 		const bool present = peer != peers.end() && peer->incarnation == loan.incarnation;
 		if (present) {
-			loan.gone_since = Millis(0);
+			loan.absent_since = Millis(0);
 			continue;
 		}
-		if (loan.gone_since == Millis(0)) {
-			loan.gone_since = now;
+		if (loan.absent_since == Millis(0)) {
+			loan.absent_since = now;
 		}
-		if (loan.gone_since + this->patience > now) {
+		if (loan.absent_since + this->reclaim_delay > now) {
 			continue;
 		}
 		for (const auto &[pool, slots] : loan.slots) {
-			this->counters.written_off += SumOf(slots);
+			this->counters.reclaimed += TotalOf(slots);
 			if (const auto gates = this->routes.Gates(); gates.contains(pool)) {
-				gates.at(pool)->TakeBack(slots, now);
+				gates.at(pool)->ReclaimSlots(slots, now);
 			}
 		}
 		loan.slots.clear();
 	}
 	std::erase_if(this->loans,
-				  [](const auto &it) { return it.second.slots.empty() && it.second.gone_since != Millis(0); });
+				  [](const auto &it) { return it.second.slots.empty() && it.second.absent_since != Millis(0); });
 }
 
 void SlotBroker::OnMessage(const MessageUnion &message)
@@ -204,14 +206,14 @@
 	}
 	const uint32_t lent = this->LendTo(*peer, pool, want.count);
 	if (lent < want.count) {
-		this->open_wants[pool][peer->name] = OpenWant{want.count - lent, this->scheduler.Now()};
+		this->pending_wants[pool][peer->name] = PendingWant{want.count - lent, this->scheduler.Now()};
 	}
 }
 
-void SlotBroker::MeetOpenWants()
+void SlotBroker::LendToPending()
 {
-	const Millis oldest = this->scheduler.Now() - WANT_LASTS;
-	for (auto &[pool, wants] : this->open_wants) {
+	const Millis oldest = this->scheduler.Now() - WANT_TIMEOUT;
+	for (auto &[pool, wants] : this->pending_wants) {
 		std::erase_if(wants, [&](const auto &it) { return it.second.at < oldest || it.second.count == 0; });
 		for (auto &[name, want] : wants) {
 			if (const std::optional<Peer> peer = this->FindPeer(name.Value()); peer) {
@@ -229,7 +231,7 @@
 		return 0;
 	}
 	Loan &loan = this->loans[peer.name];
-	const bool owes = std::ranges::any_of(loan.slots, [](const auto &it) { return SumOf(it.second) > 0; });
+	const bool owes = std::ranges::any_of(loan.slots, [](const auto &it) { return TotalOf(it.second) > 0; });
 	if (owes && loan.incarnation != peer.incarnation) {
 		return 0; /* Its earlier start still owes slots. */
 	}
@@ -241,24 +243,24 @@
 	SlotLendT lend;
 	lend.from = this->self.Value();
 	lend.pool = pool.Value();
-	PutCounts(lend, slots);
-	if (!this->Send(peer, MailOf(std::move(lend)))) {
-		gate->second->TakeBack(slots, this->scheduler.Now());
+	WriteCounts(lend, slots);
+	if (!this->Send(peer, MakeMessage(std::move(lend)))) {
+		gate->second->ReclaimSlots(slots, this->scheduler.Now());
 		return 0;
 	}
-	this->counters.lent += SumOf(slots);
+	this->counters.lent += TotalOf(slots);
 	for (const auto &[box, n] : slots) {
 		loan.slots[pool][box] += n;
 	}
-	return SumOf(slots);
+	return TotalOf(slots);
 }
 
 void SlotBroker::OnLend(const SlotLendT &lend)
 {
 	const auto gates = this->routes.Gates();
-	const SlotCounts slots = CountsOf(lend);
-	this->counters.borrowed += SumOf(slots);
-	this->asking[PoolName(lend.pool)].answered = true;
+	const SlotCounts slots = ReadCounts(lend);
+	this->counters.borrowed += TotalOf(slots);
+	this->backoffs[PoolName(lend.pool)].answered = true;
 	if (const auto gate = gates.find(PoolName(lend.pool)); gate != gates.end()) {
 		gate->second->Borrow(MemberName(lend.from), slots, this->scheduler.Now());
 	}
@@ -269,15 +271,15 @@
 	const PoolName pool(back.pool);
 	SlotCounts &owed = this->loans[MemberName(back.from)].slots[pool];
 	SlotCounts counted;
-	for (const auto &[box, count] : CountsOf(back)) {
+	for (const auto &[box, count] : ReadCounts(back)) {
 		/* No more than was lent: a message told twice must not make slots. */
-		const uint32_t good = std::min(owed[box], count);
-		owed[box] -= good;
-		counted[box] = good;
+		const uint32_t returned = std::min(owed[box], count);
+		owed[box] -= returned;
+		counted[box] = returned;
 	}
 	if (const auto gates = this->routes.Gates(); gates.contains(pool)) {
-		this->asking[pool].answered = true;
-		gates.at(pool)->TakeBack(counted, this->scheduler.Now());
+		this->backoffs[pool].answered = true;
+		gates.at(pool)->ReclaimSlots(counted, this->scheduler.Now());
 	}
-	this->MeetOpenWants();
+	this->LendToPending();
 }
--- a/src/request/slot_broker.h
+++ b/src/request/slot_broker.h
@@ -24,10 +24,10 @@
 
 /** Counters of a broker. */
 struct BrokerCounters {
-	uint64_t messages = 0;    ///< Messages sent.
-	uint64_t lent = 0;        ///< Slots lent.
-	uint64_t borrowed = 0;    ///< Slots borrowed.
-	uint64_t written_off = 0; ///< Slots taken back since their borrower is gone for good.
+	uint64_t messages = 0;  ///< Messages sent.
+	uint64_t lent = 0;      ///< Slots lent.
+	uint64_t borrowed = 0;  ///< Slots borrowed.
+	uint64_t reclaimed = 0; ///< Slots taken back since their borrower is gone for good.
 };
 
 /**
@@ -45,7 +45,8 @@
 	 * @param mail Sends messages.
 	 * @param patience How long an endpoint may work on for an entry that has vanished.
 	 */
-	SlotBroker(Scheduler &scheduler, RouteTable &routes, MemberName self, SlotTransport &mail, Millis patience);
+	SlotBroker(Scheduler &scheduler, RouteTable &routes, MemberName self, SlotTransport &transport,
+			   Millis reclaim_delay);
 
 	/** Asks for slots, and gives back what is idle. Called some twenty times a second. */
 	void Tick();
@@ -64,39 +65,39 @@
 	struct Loan {
 		std::map<PoolName, SlotCounts> slots; ///< What is lent.
 		Incarnation incarnation;              ///< Start of the borrower.
-		Millis gone_since;                    ///< Since when it is not among the members; 0 for present.
+		Millis absent_since;                  ///< Since when it is not among the members; 0 for present.
 	};
 
 	Scheduler &scheduler;             ///< Clock and timers.
 	RouteTable &routes;               ///< Gates and peers.
 	MemberName self;                  ///< This entry.
-	SlotTransport &mail;              ///< Sends messages.
-	Millis patience;                  ///< For entries that have vanished.
+	SlotTransport &transport;         ///< Sends messages.
+	Millis reclaim_delay;             ///< For entries that have vanished.
 	std::map<MemberName, Loan> loans; ///< What others hold of ours.
 	/** How a pool's slots are asked for. */
-	struct Asking {
+	struct AskBackoff {
 		Millis last = Millis(-MS_PER_DAY); ///< When slots were last asked for.
-		Millis pause;                      ///< Pause until the next time; doubles while nobody lends.
+		Millis interval;                   ///< Pause until the next time; doubles while nobody lends.
 		bool answered = true;              ///< Whether anybody lent since.
 	};
 
 	/** A request for slots that could not be met yet. */
-	struct OpenWant {
+	struct PendingWant {
 		uint32_t count = 0; ///< Slots wanted.
 		Millis at;          ///< When it came.
 	};
 
-	std::map<PoolName, Asking> asking;                             ///< By pool.
-	std::map<PoolName, std::map<MemberName, OpenWant>> open_wants; ///< Met as soon as slots fall idle.
-	std::map<PoolName, size_t> next_peer;                          ///< Whom to ask next.
-	BrokerCounters counters;                                       ///< Counters.
+	std::map<PoolName, AskBackoff> backoffs;                             ///< By pool.
+	std::map<PoolName, std::map<MemberName, PendingWant>> pending_wants; ///< Met as soon as slots fall idle.
+	std::map<PoolName, size_t> next_peer;                                ///< Whom to ask next.
+	BrokerCounters counters;                                             ///< Counters.
 
-	void Ask(const PoolName &pool, PoolGate &gate, const std::vector<Peer> &peers);
+	void RequestSlots(const PoolName &pool, PoolGate &gate, const std::vector<Peer> &peers);
 	void Recall(const PoolName &pool, uint32_t count, const std::vector<Peer> &peers);
-	void Return(const std::vector<Peer> &peers);
-	void WriteOff(const std::vector<Peer> &peers);
+	void ReturnIdleSlots(const std::vector<Peer> &peers);
+	void ReclaimFromAbsent(const std::vector<Peer> &peers);
 	void OnWant(const glade::wire::SlotWantT &want);
-	void MeetOpenWants();
+	void LendToPending();
 	uint32_t LendTo(const Peer &peer, const PoolName &pool, uint32_t count);
 	void OnLend(const glade::wire::SlotLendT &lend);
 	void OnReturn(const glade::wire::SlotReturnT &back);
