--- a/src/request/pool_gate.cpp
+++ b/src/request/pool_gate.cpp
@@ -1,4 +1,4 @@
-/** @file pool_gate.cpp Admission and routing for one pool: who gets the next slot, on which endpoint. */
+/** @file pool_gate.cpp Admission control and load balancing for the endpoints of one pool. */
 #include "pool_gate.h"
 
 #include <boost/random/uniform_int_distribution.hpp>
@@ -10,20 +10,20 @@
 namespace {
 
 constexpr int64_t US_PER_MS = 1000;               ///< Microseconds in a millisecond.
-constexpr int64_t SMOOTHING = 8;                  ///< Weight of the past in smoothed values, against 1 for the newest.
-constexpr uint32_t MAX_ERROR_SCORE = 1000;        ///< Error score of an endpoint that fails everything.
-constexpr uint32_t EJECT_ERROR_SCORE = 500;       ///< Error score from which an endpoint may be ejected.
-constexpr uint64_t MILLION = 1000000;             ///< Scale of shares.
-constexpr Millis PEAK_WINDOW(10 * MS_PER_SECOND); ///< How long a peak of use counts.
-constexpr uint32_t MAX_REFUSAL_DOUBLINGS = 5;     ///< The pause doubles so often with refusals in a row.
-constexpr Millis REFUSAL_BACKOFF(50);             ///< Pause after an endpoint's own refusal.
-constexpr Millis MIN_RETRY_AFTER(1000);           ///< Shortest time that a refused caller is told to wait.
+constexpr int64_t SMOOTHING = 8;                  ///< Smoothed values move by 1/SMOOTHING towards each sample.
+constexpr uint32_t MAX_ERROR_SCORE = 1000;        ///< Error score of an endpoint that fails all requests.
+constexpr uint32_t EJECT_ERROR_SCORE = 500;       ///< Error score from which a server error counts as a failure.
+constexpr uint64_t MILLION = 1000000;             ///< Scale of `share_scale`.
+constexpr Millis PEAK_WINDOW(10 * MS_PER_SECOND); ///< How long the peak usage of a service is remembered.
+constexpr uint32_t MAX_REFUSAL_DOUBLINGS = 5;     ///< Limits the backoff to REFUSAL_BACKOFF * 2^5.
+constexpr Millis REFUSAL_BACKOFF(50);             ///< Backoff after an endpoint's first refusal; doubles with each.
+constexpr Millis MIN_RETRY_AFTER(1000);           ///< Shortest delay that a refused caller is told.
 
 /**
- * Scales a floor or ceiling to the own share.
- * @param slots Fleet-wide slots.
- * @param scale Own share in millionths.
- * @return Own slots, rounded up.
+ * Scales a fleet-wide floor or ceiling to this entry.
+ * @param slots Slots in the whole fleet.
+ * @param scale Share of this entry in millionths.
+ * @return Slots of this entry, rounded up.
  */
 uint32_t ScaleUp(Slots slots, uint64_t scale)
 {
@@ -31,10 +31,10 @@
 }
 
 /**
- * Smooths a value.
- * @param old The past, 0 for none.
- * @param sample The newest.
- * @return The new value.
+ * Exponentially weighted moving average.
+ * @param old Average so far, 0 for none.
+ * @param sample Latest sample.
+ * @return New average, at least 1.
  */
 int64_t Smooth(int64_t old, int64_t sample)
 {
@@ -93,7 +93,7 @@
 
 bool PoolGate::Usable(const EndpointState &it, Millis now) const
 {
-	/* After an ejection one request at a time shows whether it is well again. */
+	/* After an ejection, one request at a time probes whether the endpoint has recovered. */
 	const bool on_probation = this->settings.eject && it.failures >= this->settings.eject_after;
 	const uint32_t limit = on_probation ? std::min(LimitOf(it), 1U) : LimitOf(it);
 	return it.view.open && it.in_flight < limit && it.ejected_until <= now && it.refused_until <= now;
@@ -101,7 +101,7 @@
 
 uint32_t PoolGate::LimitOf(const EndpointState &it)
 {
-	/* A smaller share of a new view may leave more lent than there is: then nothing is left until it comes back. */
+	/* When a new view lowers the share below what is lent, no own slots remain until lent ones are returned. */
 	const uint32_t own = it.base > it.lent ? it.base - it.lent : 0;
 	return own + it.borrowed - it.recalled;
 }
@@ -131,7 +131,7 @@
 
 PoolGate::EndpointState *PoolGate::LessLoaded(EndpointState *a, EndpointState *b) const
 {
-	/* Expected time until a request would be through: load times typical time, against the slots to share it. */
+	/* Expected completion time of one more request: requests in flight times latency, divided by the slots. */
 	const auto cost = [](const EndpointState &it) {
 		return static_cast<double>(it.in_flight + 1) * static_cast<double>(std::max<int64_t>(it.typical_us, 1)) /
 			   std::max(LimitOf(it), 1U);
@@ -362,7 +362,7 @@
 		service->waiting_count--;
 		EndpointState *endpoint = this->Choose(next.request.avoid, now);
 		if (endpoint == nullptr) {
-			/* Only endpoints that failed this request have room: it waits on, others go first. */
+			/* Only endpoints that failed this request have free slots: it stays queued and later requests pass it. */
 			skipped.emplace_back(service, std::move(next));
 			continue;
 		}
@@ -389,7 +389,7 @@
 		if (const auto found = this->endpoints.find(box); found != this->endpoints.end()) {
 			EndpointState &it = found->second;
 			it.in_flight -= it.in_flight > 0 ? 1 : 0;
-			/* An endpoint that fails fast must not look fast. */
+			/* A quick error must not lower the latency, which would attract more requests to a failing endpoint. */
 			if (outcome == CallOutcome::CO_SUCCESS ||
 				(outcome == CallOutcome::CO_SERVER_ERROR && held.Value() * US_PER_MS > it.typical_us)) {
 				it.typical_us = Smooth(it.typical_us, held.Value() * US_PER_MS);
@@ -425,7 +425,7 @@
 	if (outcome == CallOutcome::CO_CONNECTION_FAILED) {
 		it.failures++;
 	} else if (it.error_score >= EJECT_ERROR_SCORE) {
-		/* Errors may be the callers' own doing: they count only while most others of the pool do without. */
+		/* Errors may be caused by the requests: they count only while most endpoints of the pool have a low score. */
 		const auto healthy = std::ranges::count_if(
 				this->endpoints, [](const auto &other) { return other.second.error_score < EJECT_ERROR_SCORE / 2; });
 		it.failures += static_cast<size_t>(healthy) * 2 > this->endpoints.size() ? 1 : 0;
@@ -446,7 +446,7 @@
 		open += other.view.open ? 1 : 0;
 		ejected += other.view.open && other.ejected_until > now ? 1 : 0;
 	}
-	/* A whole wave of failures must not empty the pool. */
+	/* Limits the ejected percentage, so that simultaneous failures of many endpoints do not empty the pool. */
 	if (it.ejected_until > now || (ejected + 1) * 100 > open * this->settings.eject_cap_percent) {
 		return;
 	}
--- a/src/request/pool_gate.h
+++ b/src/request/pool_gate.h
@@ -1,4 +1,4 @@
-/** @file pool_gate.h Admission and routing for one pool: who gets the next slot, on which endpoint. */
+/** @file pool_gate.h Admission control and load balancing for the endpoints of one pool. */
 #ifndef POOL_GATE_H
 #define POOL_GATE_H
 
@@ -13,262 +13,269 @@
 #include <mutex>
 #include <set>
 
-/** An endpoint as an entry may use it. */
+/** An endpoint with the slots that this entry may use on it. */
 struct GateEndpoint {
-	BoxName box;         ///< The box.
+	BoxName box;         ///< Box that the endpoint runs on.
 	std::string address; ///< IP:port.
 	BoxEpoch epoch;      ///< Epoch of the box.
-	bool open = true;    ///< False: nothing new.
-	uint32_t share = 0;  ///< Slots of it that this entry may use.
-	PermitId permit;     ///< Permit under which the box is drained, 0 for none.
+	bool open = true;    ///< Whether it accepts new requests.
+	uint32_t share = 0;  ///< Number of its slots that this entry may use.
+	PermitId permit;     ///< Permit under which the box is being drained; 0 for none.
 };
 
-/** Slots of endpoints, by box. */
+/** Number of slots by box. */
 using SlotCounts = std::map<BoxName, uint32_t>;
 
 /** Permission to use one slot of an endpoint. */
 struct Grant {
-	BoxName box;         ///< The box.
+	BoxName box;         ///< Box that the endpoint runs on.
 	std::string address; ///< IP:port.
-	BoxEpoch epoch;      ///< Epoch of the box at granting.
+	BoxEpoch epoch;      ///< Epoch of the box when the slot was granted.
 };
 
-/** What the gate says to a request. */
+/** Result of a slot request. */
 struct GateDecision {
-	ResultCode code = ResultCode::RC_OK; ///< RC_OK with a grant, or why there is none: not run.
-	Grant grant;                         ///< With RC_OK.
-	Millis retry_after;                  ///< When to come back, with a refusal.
+	ResultCode code =
+			ResultCode::RC_OK; ///< RC_OK: granted; else the reason of the refusal, and the request did not run.
+	Grant grant;               ///< Valid with RC_OK only.
+	Millis retry_after;        ///< With a refusal: delay before the caller should retry, ms.
 };
 
-/** A request that wants a slot. */
+/** Parameters of a slot request. */
 struct SlotRequest {
-	ServiceName service;                         ///< Its service.
-	WorkClass work_class = WorkClass::WC_NORMAL; ///< Its class.
-	Millis deadline;                             ///< When its answer must be there, by the lane's clock.
-	std::set<BoxName> avoid;                ///< Endpoints to take only if there is no other: they failed it before.
-	bool only_spare = false;                ///< Take a slot only if nobody waits: a guest from another zone.
-	std::function<void(GateDecision)> done; ///< Gets a later answer; called on any thread, without locks held.
+	ServiceName service;                         ///< Service of the request.
+	WorkClass work_class = WorkClass::WC_NORMAL; ///< Work class of the request.
+	Millis deadline;                             ///< Latest time of the response, by the scheduler's clock.
+	std::set<BoxName> avoid; ///< Endpoints that failed this request before; used only if no other is open.
+	bool only_spare = false; ///< Refuse instead of queueing; set for requests that spill over from another zone.
+	std::function<void(GateDecision)> done; ///< Receives a deferred decision; called on any thread, without locks held.
 };
 
-using SlotRequestId = Strong<struct SlotRequestIdTag, uint64_t>; ///< A request waiting at a gate; 0 is "none".
+using SlotRequestId = Strong<struct SlotRequestIdTag, uint64_t>; ///< A queued slot request; 0 for none.
 
-/** How a request on an endpoint ended, for passive health. */
+/** How a call to an endpoint ended, for passive health checks. */
 enum class CallOutcome : uint8_t {
-	CO_SUCCESS = 0,           ///< A whole answer that is no server error.
-	CO_SERVER_ERROR = 1,      ///< An answer with a server error.
-	CO_CONNECTION_FAILED = 2, ///< No connection, or broke off.
-	CO_REFUSED = 3,           ///< The endpoint says that it has no room: not its fault.
-	CO_CANCELLED = 4,         ///< Ended by the caller: says nothing.
+	CO_SUCCESS = 0,           ///< Complete response that is no server error.
+	CO_SERVER_ERROR = 1,      ///< Complete response with a server error (status 500 or above).
+	CO_CONNECTION_FAILED = 2, ///< Connection not established or lost.
+	CO_REFUSED = 3,           ///< Endpoint refused for lack of capacity; does not count as a failure.
+	CO_CANCELLED = 4,         ///< Cancelled by the caller; says nothing about the endpoint's health.
 };
 
-/** How a gate is set. */
+/** Settings of a gate. */
 struct GateSettings {
-	size_t queue_limit = 256;            ///< Waiting requests per service.
-	Millis eject_base = Millis(1000);    ///< First ejection; doubles with each in a row.
-	Millis eject_max = Millis(30000);    ///< Longest ejection.
-	uint32_t eject_after = 3;            ///< Failures in a row that eject.
-	uint32_t eject_cap_percent = 34;     ///< Share of a pool's endpoints that may be ejected at once.
-	Millis initial_latency = Millis(20); ///< Time a request takes, before any was seen.
-	Millis long_request = Millis(500);   ///< Services that hold slots longer leave room for urgent ones.
-	bool admit_by_deadline = true;       ///< Drop what can't be on time. Off only as a baseline of the bench.
-	Millis borrow_idle = Millis(100);    ///< Borrowed slots that no request needed for so long go back.
-	bool two_choices = true;             ///< Two random choices; off (round robin) only as a baseline.
-	bool eject = true;                   ///< Passive ejection; off only as a baseline.
+	size_t queue_limit = 256;            ///< Longest queue per service, in requests.
+	Millis eject_base = Millis(1000);    ///< Duration of the first ejection; doubles with each consecutive one.
+	Millis eject_max = Millis(30000);    ///< Longest duration of an ejection.
+	uint32_t eject_after = 3;            ///< Consecutive failures that eject an endpoint.
+	uint32_t eject_cap_percent = 34;     ///< Largest percentage of a pool's open endpoints ejected at a time.
+	Millis initial_latency = Millis(20); ///< Latency assumed for a service without completed requests.
+	Millis long_request =
+			Millis(500); ///< Services with a latency from here on leave reserved slots to urgent services.
+	bool admit_by_deadline =
+			true; ///< Queue by deadline and refuse requests that would miss theirs; off only for benchmark baselines.
+	Millis borrow_idle = Millis(100); ///< Borrowed slots unused for this long are returned.
+	bool two_choices = true;          ///< Power of two random choices; off (round robin) only for benchmark baselines.
+	bool eject = true;                ///< Passive ejection; off only for benchmark baselines.
 };
 
-/** Counters of a gate. */
+/** Counters of a gate, since its start. */
 struct GateCounters {
-	uint64_t granted = 0;           ///< Slots given.
-	uint64_t queue_full = 0;        ///< Refused: queue full.
-	uint64_t cannot_be_on_time = 0; ///< Refused: could not be on time.
-	uint64_t no_endpoint = 0;       ///< Refused: no endpoint open.
-	uint64_t ejections = 0;         ///< Endpoints ejected.
+	uint64_t granted = 0;           ///< Slots granted.
+	uint64_t queue_full = 0;        ///< Refusals with RC_QUEUE_FULL.
+	uint64_t cannot_be_on_time = 0; ///< Refusals with RC_CANNOT_BE_ON_TIME.
+	uint64_t no_endpoint = 0;       ///< Refusals with RC_NO_ENDPOINT.
+	uint64_t ejections = 0;         ///< Ejections of endpoints.
 };
 
-/** State of an endpoint, for dumps. */
+/** Snapshot of an endpoint's state, for dumps. */
 struct EndpointStatus {
-	GateEndpoint endpoint;  ///< What the view says.
-	uint32_t in_flight = 0; ///< Requests on it from this entry.
-	uint32_t lent = 0;      ///< Slots of the share lent to others.
-	uint32_t borrowed = 0;  ///< Slots lent by others.
-	Millis typical;         ///< Smoothed time of a request.
-	bool ejected = false;   ///< Whether it is ejected now.
+	GateEndpoint endpoint;  ///< Endpoint as configured.
+	uint32_t in_flight = 0; ///< Requests in flight from this entry.
+	uint32_t lent = 0;      ///< Slots of the own share that are lent to other entries.
+	uint32_t borrowed = 0;  ///< Slots borrowed from other entries.
+	Millis typical;         ///< Smoothed latency, ms; 0 before the first response.
+	bool ejected = false;   ///< Whether the endpoint is ejected now.
 };
 
 /**
- * The gate of one pool. Thread safe: its state is one shard under its own lock; answers are given after unlocking.
+ * Admits requests to the endpoints of one pool and balances the load among them. Thread safe; callbacks are called
+ * after the lock is released.
  */
 class PoolGate {
 public:
 	/**
-	 * @param settings Limits.
-	 * @param seed Seed of the random choices.
+	 * @param settings Settings of the gate.
+	 * @param seed Seed of the random generator that chooses endpoints.
 	 */
 	PoolGate(GateSettings settings, uint64_t seed);
 
 	/**
-	 * Takes over endpoints and services of a new view.
-	 * @param endpoints Endpoints of the own zone.
+	 * Applies the endpoints and services of a new view.
+	 * @param endpoints Endpoints of this entry's zone.
 	 * @param rows Services of the pool.
-	 * @param share_scale Own share of the whole pool's slots, in millionths: ceilings hold fleet-wide.
-	 * @param gained_usable_from Shares that grew count from then on: until then others may still use them.
-	 * @param now Lane's clock.
+	 * @param share_scale This entry's share of the pool's slots in the whole fleet, in millionths; scales the services'
+	 * fleet-wide floors and ceilings.
+	 * @param gained_usable_from Time from which slots gained by a change of shares may be used; entries with the old
+	 * view may use them until then.
+	 * @param now Scheduler's clock.
 	 */
 	void Update(const std::vector<GateEndpoint> &endpoints, const std::vector<ServiceRow> &rows, uint64_t share_scale,
 				Millis gained_usable_from, Millis now);
 
 	/**
-	 * Asks for a slot.
-	 * @param ask The request.
-	 * @param now Lane's clock.
-	 * @param[out] id For Withdraw(), when no answer is returned.
-	 * @return An answer at once, or nothing: `ask.done` will get it.
+	 * Requests a slot.
+	 * @param request Parameters of the request.
+	 * @param now Scheduler's clock.
+	 * @param[out] id Handle for CancelRequest(); set only when the request is queued.
+	 * @return The decision; nothing when the request is queued and `request.done` will receive it.
 	 */
 	std::optional<GateDecision> RequestSlot(SlotRequest request, Millis now, SlotRequestId &id);
 
 	/**
-	 * Takes a waiting request out.
-	 * @param id The request.
-	 * @return Whether it still waited; if not, its answer was given or is on its way.
+	 * Removes a request from the queue.
+	 * @param id Handle of the request.
+	 * @return Whether it was still queued; if not, its callback has been called or is about to be.
 	 */
 	bool CancelRequest(SlotRequestId id);
 
 	/**
-	 * Gives a slot back.
-	 * @param box The box.
+	 * Releases a granted slot.
+	 * @param box Box of the slot.
 	 * @param service Service that held the slot.
-	 * @param outcome How the request ended.
-	 * @param held How long the slot was held.
-	 * @param now Lane's clock.
+	 * @param outcome How the call ended.
+	 * @param held How long the slot was held, ms.
+	 * @param now Scheduler's clock.
 	 */
 	void Release(const BoxName &box, const ServiceName &service, CallOutcome outcome, Millis held, Millis now);
 
 	/**
-	 * Refuses what can't be on time any more and grants what has become free. Called some ten times a second.
-	 * @param now Lane's clock.
+	 * Refuses queued requests that can no longer meet their deadline and grants free slots. Called about ten times a
+	 * second.
+	 * @param now Scheduler's clock.
 	 */
 	void Tick(Millis now);
 
 	/**
-	 * How many slots more would be used now.
-	 * @param now Lane's clock.
-	 * @return Requests that wait although their service might take more.
+	 * Computes how many additional slots could be used now.
+	 * @param now Scheduler's clock.
+	 * @return Queued requests below their service's ceiling, less the free slots.
 	 */
 	[[nodiscard]] uint32_t SlotDemand(Millis now) const;
 
 	/**
-	 * Lends idle slots of the own share. Nothing is lent while requests wait here.
-	 * @param most Most slots.
-	 * @param now Lane's clock.
-	 * @return What is lent; it is gone until ReclaimSlots().
+	 * Lends idle slots of the own share to another entry. Nothing is lent while requests are queued here.
+	 * @param most Maximum number of slots.
+	 * @param now Scheduler's clock.
+	 * @return Slots lent; this gate does not use them until ReclaimSlots().
 	 */
 	SlotCounts Lend(uint32_t most, Millis now);
 
 	/**
-	 * Lent slots have come back.
-	 * @param slots The slots.
-	 * @param now Lane's clock.
+	 * Takes lent slots back into use.
+	 * @param slots Slots that were returned.
+	 * @param now Scheduler's clock.
 	 */
 	void ReclaimSlots(const SlotCounts &slots, Millis now);
 
 	/**
-	 * Slots were lent to this entry.
-	 * @param lender Who lent them.
-	 * @param slots The slots.
-	 * @param now Lane's clock.
+	 * Adds slots that another entry has lent.
+	 * @param lender Entry that lent them.
+	 * @param slots Slots borrowed.
+	 * @param now Scheduler's clock.
 	 */
 	void Borrow(const MemberName &lender, const SlotCounts &slots, Millis now);
 
 	/**
-	 * A lender needs slots itself: as they become free they are not used again.
-	 * @param lender The lender.
-	 * @param count How many.
+	 * Marks borrowed slots that the lender needs back; they are not reused once they are free.
+	 * @param lender Entry that lent them.
+	 * @param count Number of slots needed, including those recalled before.
 	 */
 	void Recall(const MemberName &lender, uint32_t count);
 
 	/**
-	 * Gives back borrowed slots that are recalled or have been idle for `borrow_idle`.
-	 * @param lender The lender.
-	 * @param now Lane's clock.
-	 * @return What goes back; this entry does not use it any more.
+	 * Releases borrowed slots that were recalled, or unused for `borrow_idle`.
+	 * @param lender Entry that lent them.
+	 * @param now Scheduler's clock.
+	 * @return Slots to return to the lender; this gate no longer uses them.
 	 */
 	SlotCounts ReturnSlots(const MemberName &lender, Millis now);
 
-	/** @return Slots lent and not back yet. */
+	/** @return Number of slots lent and not yet returned. */
 	[[nodiscard]] uint32_t LentSlots() const;
 
-	/** @return Endpoints that are being drained under a permit, with nothing in flight from this entry. */
+	/** @return Endpoints drained under a permit that have no request in flight from this entry. */
 	[[nodiscard]] std::vector<GateEndpoint> Drained() const;
 
-	/** @return Endpoints, for dumps. */
+	/** @return Snapshots of all endpoints, for dumps. */
 	[[nodiscard]] std::vector<EndpointStatus> Endpoints(Millis now) const;
 
-	/** @return Counters. */
+	/** @return Counters since the start. */
 	[[nodiscard]] GateCounters Counters() const;
 
-	/** @return Requests waiting. */
+	/** @return Number of queued requests. */
 	[[nodiscard]] size_t Waiting() const;
 
 private:
-	/** An endpoint and what was seen of it. */
+	/** An endpoint with its load and health. */
 	struct EndpointState {
-		GateEndpoint view;        ///< What the view says.
-		uint32_t in_flight = 0;   ///< Requests on it.
-		int64_t typical_us = 0;   ///< Smoothed time of a request, 0 for none seen.
-		uint32_t failures = 0;    ///< Failures in a row.
-		uint32_t error_score = 0; ///< Smoothed share of errors, in thousandths.
-		uint32_t ejections = 0;   ///< Ejections in a row.
+		GateEndpoint view;        ///< Endpoint as configured by the view.
+		uint32_t in_flight = 0;   ///< Requests in flight from this entry.
+		int64_t typical_us = 0;   ///< Smoothed latency, us; 0 before the first response.
+		uint32_t failures = 0;    ///< Consecutive failures.
+		uint32_t error_score = 0; ///< Smoothed error rate, in thousandths.
+		uint32_t ejections = 0;   ///< Consecutive ejections.
 		Millis ejected_until;     ///< End of the ejection.
-		uint32_t refusals = 0;    ///< Its own refusals in a row.
-		Millis refused_until;     ///< Its own refusal holds until then.
-		uint32_t base = 0;        ///< Part of the share that counts already.
-		uint32_t lent = 0;        ///< Slots of the share lent to others.
-		uint32_t borrowed = 0;    ///< Slots lent by others.
-		uint32_t recalled = 0;    ///< Part of them not to be used again.
-		uint32_t peak = 0;        ///< Most requests at once in this window of `borrow_idle`.
-		uint32_t last_peak = 0;   ///< The same of the window before.
-		Millis window;            ///< Start of this window.
-		bool listed = true;       ///< Whether the view has it; else it is dropped when empty.
+		uint32_t refusals = 0;    ///< Consecutive CO_REFUSED outcomes.
+		Millis refused_until;     ///< End of the backoff after a CO_REFUSED outcome.
+		uint32_t base = 0;        ///< Part of the share that may be used already (`gained_usable_from`).
+		uint32_t lent = 0;        ///< Slots of the own share that are lent to other entries.
+		uint32_t borrowed = 0;    ///< Slots borrowed from other entries.
+		uint32_t recalled = 0;    ///< Borrowed slots that were recalled and must not be reused.
+		uint32_t peak = 0;        ///< Most concurrent requests in the current window of `borrow_idle`.
+		uint32_t last_peak = 0;   ///< Most concurrent requests in the previous window.
+		Millis window;            ///< Start of the current window.
+		bool listed = true;       ///< Whether the view has the endpoint; if not, it is removed once it is unused.
 	};
 
-	/** Slots borrowed from one lender. */
+	/** Slots of one box borrowed from one lender. */
 	struct BoxLoan {
-		uint32_t owed = 0;     ///< Slots.
-		uint32_t recalled = 0; ///< Part of them that the lender needs.
+		uint32_t owed = 0;     ///< Slots not yet returned.
+		uint32_t recalled = 0; ///< Slots of these that the lender has recalled.
 	};
 
-	/** A waiting request. */
+	/** A queued request. */
 	struct Waiter {
-		SlotRequestId id;    ///< For Withdraw().
-		SlotRequest request; ///< The request.
+		SlotRequestId id;    ///< Handle for CancelRequest().
+		SlotRequest request; ///< Parameters of the request.
 	};
 
-	/** A service's queue and use. */
+	/** Queue and slot usage of a service. */
 	struct ServiceState {
-		ServiceRow row;                                 ///< Its row.
-		uint32_t floor = 0;                             ///< Own share of its floor.
-		uint32_t ceiling = 0;                           ///< Own share of its ceiling.
-		uint32_t in_flight = 0;                         ///< Slots held.
-		uint32_t recent_peak = 0;                       ///< Largest recent use.
-		Millis peak_since;                              ///< Since when the peak counts.
-		int64_t typical_us = 0;                         ///< Smoothed time of a request.
-		std::map<WorkClass, std::list<Waiter>> waiting; ///< By class, sorted by deadline.
-		size_t waiting_count = 0;                       ///< Waiters of all classes.
+		ServiceRow row;                                 ///< Configuration of the service.
+		uint32_t floor = 0;                             ///< This entry's share of the floor, in slots.
+		uint32_t ceiling = 0;                           ///< This entry's share of the ceiling, in slots.
+		uint32_t in_flight = 0;                         ///< Slots in use.
+		uint32_t recent_peak = 0;                       ///< Most slots in use within PEAK_WINDOW.
+		Millis peak_since;                              ///< Time of the recent peak.
+		int64_t typical_us = 0;                         ///< Smoothed latency, us; 0 before the first response.
+		std::map<WorkClass, std::list<Waiter>> waiting; ///< Queues by class, sorted by deadline.
+		size_t waiting_count = 0;                       ///< Queued requests of all classes.
 	};
 
 	using Decisions = std::vector<std::pair<std::function<void(GateDecision)>, GateDecision>>;
 
-	mutable std::mutex lock;                                           ///< Guards all that follows.
-	GateSettings settings;                                             ///< Limits.
-	boost::random::mt19937_64 random;                                  ///< Random choices.
-	std::map<BoxName, EndpointState> endpoints;                        ///< Endpoints.
-	std::map<ServiceName, ServiceState> services;                      ///< Services.
-	std::map<SlotRequestId, std::pair<ServiceName, WorkClass>> queued; ///< Where a waiter stands.
-	uint64_t last_id = 0;                                              ///< Last waiter.
-	std::map<MemberName, std::map<BoxName, BoxLoan>> loans_by_lender;  ///< Borrowed slots by lender.
-	uint64_t round_robin = 0;                                          ///< Next choice of the baseline.
-	Millis gained_usable_from;                                         ///< When shares that grew begin to count.
-	GateCounters counters;                                             ///< Counters.
+	mutable std::mutex lock;                                           ///< Guards all members below.
+	GateSettings settings;                                             ///< Settings of the gate.
+	boost::random::mt19937_64 random;                                  ///< Generator for random choices.
+	std::map<BoxName, EndpointState> endpoints;                        ///< Endpoints by box.
+	std::map<ServiceName, ServiceState> services;                      ///< Services by name.
+	std::map<SlotRequestId, std::pair<ServiceName, WorkClass>> queued; ///< Service and class of queued requests.
+	uint64_t last_id = 0;                                              ///< Last request id assigned.
+	std::map<MemberName, std::map<BoxName, BoxLoan>> loans_by_lender;  ///< Borrowed slots by lender and box.
+	uint64_t round_robin = 0;                                          ///< Next index without `two_choices`.
+	Millis gained_usable_from;                                         ///< Time from which gained slots may be used.
+	GateCounters counters;                                             ///< Counters since the start.
 
 	[[nodiscard]] static bool Removable(const EndpointState &it);
 	void AdvanceWindow(EndpointState &it, Millis now) const;
--- a/src/request/pool_gate_lend.cpp
+++ b/src/request/pool_gate_lend.cpp
@@ -1,4 +1,4 @@
-/** @file pool_gate_lend.cpp The part of a gate that lends, borrows and gives back slots. */
+/** @file pool_gate_lend.cpp Lending, borrowing and returning of slots by a pool gate. */
 #include "pool_gate.h"
 
 #include <algorithm>
@@ -58,7 +58,8 @@
 	{
 		const std::scoped_lock guard(this->lock);
 		for (const auto &[box, count] : slots) {
-			/* Slots of an endpoint that this entry does not know stay unused and go back. */
+			/* An endpoint that this entry's view does not have yet stays closed; its borrowed slots are returned
+			 * unused. */
 			auto &it = this->endpoints[box];
 			it.listed = it.view.box == box && it.listed;
 			it.view.open = it.view.box == box && it.view.open;
