--- a/src/request/exchange.cpp
+++ b/src/request/exchange.cpp
@@ -1,4 +1,4 @@
-/** @file exchange.cpp One request on its way. */
+/** @file exchange.cpp Handling of one request. */
 #include "exchange.h"
 
 #include <algorithm>
@@ -8,13 +8,13 @@
 namespace {
 
 constexpr const char *RUN_NO = "no";           ///< The request certainly did not run.
-constexpr const char *RUN_UNKNOWN = "unknown"; ///< It may have run.
-constexpr int STATUS_SERVER_ERROR = 500;       ///< First status that counts as the endpoint's error.
-constexpr int STATUS_UNAVAILABLE = 503;        ///< Status with which an endpoint may say "not run".
+constexpr const char *RUN_UNKNOWN = "unknown"; ///< The request may have run.
+constexpr int STATUS_SERVER_ERROR = 500;       ///< First HTTP status that counts as a server error.
+constexpr int STATUS_UNAVAILABLE = 503;        ///< HTTP status that, with RUN_NO, says the request did not run.
 
 /**
- * @param target Path and query.
- * @return First segment of the path: the service.
+ * @param target Path and query of the request.
+ * @return First segment of the path, which names the service; empty when there is none.
  */
 std::string FirstSegment(const std::string &target)
 {
@@ -27,7 +27,7 @@
 
 /**
  * @param method HTTP method.
- * @return Whether RFC 9110 (9.2.2) lets it be repeated.
+ * @return Whether the method is idempotent (RFC 9110, section 9.2.2).
  */
 bool IsIdempotent(const std::string &method)
 {
@@ -36,8 +36,8 @@
 }
 
 /**
- * @param text Digits.
- * @return The number, or nothing.
+ * @param text Decimal digits.
+ * @return The number; nothing when the text is no number above 0.
  */
 std::optional<int64_t> ParsePositive(const std::string &text)
 {
@@ -103,7 +103,7 @@
 		if (credential == nullptr) {
 			return {ResultCode::RC_NOT_IDENTIFIED, ""};
 		}
-		/* A service that a member firm may not use looks to it as one that is not there. */
+		/* A service that the account may not use is reported as unknown, so that its existence is not disclosed. */
 		if (!credential->services.empty() && !credential->services.contains(this->facts.service)) {
 			return {ResultCode::RC_UNKNOWN_SERVICE, ""};
 		}
@@ -163,7 +163,7 @@
 	const Millis issued = *KeyIssueTime(key.key);
 	const KeyOwner owner = this->path.routes.OwnerOf(key, issued, this->path.keys.Limits().skew, this->scheduler.Now());
 	if (!owner.self) {
-		/* Forwarded once already: the sender's view or ours is old, and nobody ran it. */
+		/* A forwarded request is not forwarded again: one of the two views is outdated, and it did not run. */
 		if (owner.code != ResultCode::RC_OK || this->request.from_peer) {
 			this->NotRun(ResultCode::RC_KEY_OWNER_AWAY, Millis(MS_PER_SECOND));
 			return false;
@@ -245,7 +245,7 @@
 
 bool Exchange::TryOtherZone()
 {
-	/* A guest is not passed on again, and a keyed request stays with the owner of its key. */
+	/* A forwarded request is not forwarded again, and a keyed request must run at the owner of its key. */
 	if (!this->path.settings.spillover || this->request.from_peer || this->facts.key) {
 		return false;
 	}
@@ -316,7 +316,7 @@
 		return;
 	}
 	this->state = ExchangeState::ES_RELAYING;
-	/* An answer has begun: from here on the deadline is the endpoint's word against a stream that may last. */
+	/* The deadline ends with the response head, since a streamed body may take any time. */
 	this->scheduler.Cancel(this->timer);
 	this->timer = TimerId();
 	ResponseHead out = *this->head;
@@ -386,7 +386,7 @@
 		return;
 	}
 	if (this->state == ExchangeState::ES_RELAYING) {
-		/* Part of the answer is out: the caller must see that it is not whole. */
+		/* Part of the response has been sent: the caller must be able to tell that it is incomplete. */
 		this->FinishKey(false);
 		this->GiveBack(CallOutcome::CO_CONNECTION_FAILED);
 		this->path.counters.broken++;
@@ -442,7 +442,7 @@
 		return;
 	}
 	if (this->state == ExchangeState::ES_SENT) {
-		/* The endpoint may work on: its slot stays taken until it ends, and the answer is dropped. */
+		/* The endpoint may still be working: its slot is held until the call ends, and the response is discarded. */
 		const auto hold = this->self;
 		this->Refuse(ResultCode::RC_DEADLINE_PASSED, RUN_UNKNOWN);
 		return;
@@ -466,7 +466,7 @@
 		return;
 	}
 	if (this->state == ExchangeState::ES_RELAYING && this->key_held) {
-		/* Its answer may be asked for again. */
+		/* Goes on reading, to store the response for a retry with the same key. */
 		this->call->SetPaused(false);
 		this->Detach();
 		return;
@@ -494,7 +494,7 @@
 	if (!this->call) {
 		return;
 	}
-	/* The call may be the one that is telling us: it goes when the lane is free. */
+	/* The call may be the caller of this function: it is destroyed later, from the event loop. */
 	this->call->Abandon();
 	this->scheduler.Post([call = std::shared_ptr<EndpointCall>(std::move(this->call))] {});
 }
--- a/src/request/exchange.h
+++ b/src/request/exchange.h
@@ -1,5 +1,5 @@
-/** @file exchange.h One request on its way: identify, admit, route, send, answer; every promise to callers is kept
- * here. */
+/** @file exchange.h Handling of one request: identification, admission, routing, sending and response. Guarantees
+ * given to callers, such as running a keyed request at most once, are enforced here. */
 #ifndef EXCHANGE_H
 #define EXCHANGE_H
 
@@ -10,37 +10,37 @@
 
 /** States of a request. */
 enum class ExchangeState : uint8_t {
-	ES_RECEIVED = 0, ///< Whole request is there.
-	ES_WAITING = 1,  ///< Waits for a slot.
-	ES_SENT = 2,     ///< Offered to an endpoint or peer; whether it runs is unknown from here on.
-	ES_RELAYING = 3, ///< The answer's head is there; its body is passed on.
-	ES_DETACHED = 4, ///< The caller has its final answer or left; the endpoint still works and holds its slot.
-	ES_DONE = 5,     ///< Nothing is left to do.
+	ES_RECEIVED = 0, ///< The complete request has been received.
+	ES_WAITING = 1,  ///< Queued for a slot.
+	ES_SENT = 2,     ///< Passed to an endpoint or peer; from here on it is unknown whether it runs.
+	ES_RELAYING = 3, ///< The response head has been received; the body is being relayed.
+	ES_DETACHED = 4, ///< The caller has been answered or has left; the call goes on and holds its slot.
+	ES_DONE = 5,     ///< Finished.
 };
 
 /**
- * A request of a caller. Lives on one lane (thread); calls into it come from that lane only. It keeps itself alive
- * until it is done, since an endpoint may work on after the caller has left.
+ * A request of a caller. Used from one thread only. Keeps itself alive until it is finished, since a call may go on
+ * after the caller has left.
  */
 class Exchange : public CallEvents, public ServedRequest, public std::enable_shared_from_this<Exchange> {
 public:
 	/**
-	 * @param lane Clock and timers of the request's thread.
-	 * @param path What all requests of the entry share; outlives this.
-	 * @param dialer Starts calls; outlives this.
-	 * @param sink The caller's end; used until the answer has ended, broken, or OnCallerDisconnected().
-	 * @param request The request.
+	 * @param scheduler Clock and timers of the request's thread.
+	 * @param path State shared by all requests of the entry; outlives this.
+	 * @param dialer Starts calls to endpoints and peers; outlives this.
+	 * @param sink Receives the response; used until the response has ended or was aborted, or OnCallerDisconnected().
+	 * @param request Complete request.
 	 */
 	Exchange(Scheduler &scheduler, RequestPath &path, EndpointDialer &dialer, CallerSink &sink, CallerRequest request);
 	~Exchange() override;
 
-	/** Begins. The sink may be used before this returns. */
+	/** Starts handling the request. The sink may be used before this returns. */
 	void Start();
 
 	void OnCallerDisconnected() override;
 	void OnCallerWritable() override;
 
-	/** @return Where the request stands. */
+	/** @return State of the request. */
 	[[nodiscard]] ExchangeState State() const { return this->state; }
 
 	void OnResponseHead(ResponseHead head) override;
@@ -49,39 +49,39 @@
 	void OnCallFailed(CallFailure failure) override;
 
 private:
-	/** What was found out about the request. */
+	/** Properties of the request, derived from its headers and its service. */
 	struct Facts {
 		AccountName account;                         ///< Client account of the caller.
-		ServiceName service;                         ///< Service asked for.
-		WorkClass work_class = WorkClass::WC_NORMAL; ///< Its class.
-		bool repeatable = false;                     ///< Whether it may run twice.
-		Millis deadline;                             ///< When the caller stops waiting, by the lane's clock.
-		std::optional<KeyId> key;                    ///< Its key, if it may not be repeated.
+		ServiceName service;                         ///< Service requested.
+		WorkClass work_class = WorkClass::WC_NORMAL; ///< Work class of the service.
+		bool repeatable = false;                     ///< Whether it may run more than once.
+		Millis deadline;                             ///< When the caller stops waiting, by the scheduler's clock.
+		std::optional<KeyId> key;                    ///< Idempotency key of a request that is not repeatable.
 	};
 
-	Scheduler &scheduler;                             ///< Clock and timers.
-	RequestPath &path;                                ///< Shared by all requests.
-	EndpointDialer &dialer;                           ///< Starts calls.
-	CallerSink *sink;                                 ///< The caller's end, null once it is over.
-	CallerRequest request;                            ///< The request.
-	Facts facts;                                      ///< What was found out.
-	ExchangeState state = ExchangeState::ES_RECEIVED; ///< Where it stands.
-	Route route;                                      ///< Service and gate.
-	SlotRequestId slot_request;                       ///< Place at the gate.
-	uint64_t slot_attempt = 0;                        ///< Counts asks: late answers of older ones give their slot back.
-	std::optional<Grant> grant;                       ///< Slot held.
-	Millis granted_at;                                ///< Since when.
-	Millis started_at;                                ///< When the request was whole.
-	uint32_t attempts = 0;                            ///< Endpoints that it was offered to, one as often as it was.
-	std::set<BoxName> tried;                          ///< Endpoints that did not run it.
-	std::unique_ptr<EndpointCall> call;               ///< Call under way.
-	bool to_peer = false;                             ///< Whether the call goes to another entry.
-	bool key_held = false;                            ///< Whether the key's memory says that this request runs.
-	std::optional<ResponseHead> head;                 ///< Head of the answer.
-	std::string stored_body;                          ///< Body so far, for the memory of keys.
-	bool store_body = false;                          ///< Whether the body is kept.
-	TimerId timer;                                    ///< Deadline or end of patience.
-	std::shared_ptr<Exchange> self;                   ///< Keeps this alive until it is done.
+	Scheduler &scheduler;                             ///< Clock and timers of the request's thread.
+	RequestPath &path;                                ///< State shared by all requests.
+	EndpointDialer &dialer;                           ///< Starts calls to endpoints and peers.
+	CallerSink *sink;                                 ///< Receives the response; null once it must not be used.
+	CallerRequest request;                            ///< Request as received.
+	Facts facts;                                      ///< Properties of the request.
+	ExchangeState state = ExchangeState::ES_RECEIVED; ///< State of the request.
+	Route route;                                      ///< Configuration of the service and gate of its pool.
+	SlotRequestId slot_request;                       ///< Queued slot request.
+	uint64_t slot_attempt = 0;          ///< Number of the latest slot request; grants of earlier ones are released.
+	std::optional<Grant> grant;         ///< Slot in use.
+	Millis granted_at;                  ///< Time of the grant.
+	Millis started_at;                  ///< Time at which the request was complete.
+	uint32_t attempts = 0;              ///< Number of sends to endpoints.
+	std::set<BoxName> tried;            ///< Endpoints that failed the request.
+	std::unique_ptr<EndpointCall> call; ///< Call in progress.
+	bool to_peer = false;               ///< Whether the request is forwarded to another entry.
+	bool key_held = false;              ///< Whether the key is recorded as running for this request.
+	std::optional<ResponseHead> head;   ///< Response head, once received.
+	std::string stored_body;            ///< Body received so far, for the key memory.
+	bool store_body = false;            ///< Whether the body is collected in `stored_body`.
+	TimerId timer;                      ///< Deadline, or end of `detach_patience` once detached.
+	std::shared_ptr<Exchange> self;     ///< Keeps this alive until it is finished.
 
 	Result Identify();
 	void ReadDeadline();
--- a/src/request/headers.cpp
+++ b/src/request/headers.cpp
@@ -18,7 +18,7 @@
 														  "Upgrade",
 														  "Content-Length"};
 
-/** @return The character in lower case, ASCII only. */
+/** @return The character in lower case; only ASCII letters change. */
 char ToLower(char c)
 {
 	return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
--- a/src/request/request_type.h
+++ b/src/request/request_type.h
@@ -1,4 +1,4 @@
-/** @file request_type.h Types of the request path: messages, and the interfaces towards callers and endpoints. */
+/** @file request_type.h Messages of the request path and its interfaces towards callers and endpoints. */
 #ifndef REQUEST_TYPE_H
 #define REQUEST_TYPE_H
 
@@ -13,177 +13,177 @@
 
 /** One header field. */
 struct HeaderField {
-	std::string name;  ///< As received; compared without case.
-	std::string value; ///< Without surrounding blanks.
+	std::string name;  ///< Name as received; compared case-insensitively.
+	std::string value; ///< Value without surrounding whitespace.
 };
 
-/** Header fields of a message, in order. */
+/** Header fields of a message, in the order received. */
 class HeaderList {
 public:
-	std::vector<HeaderField> fields; ///< The fields.
+	std::vector<HeaderField> fields; ///< Fields in order; a name may occur more than once.
 
 	/**
-	 * @param name Name of a field.
-	 * @return Value of the first such field, or null.
+	 * @param name Field name, compared case-insensitively.
+	 * @return Value of the first field with this name, or null.
 	 */
 	[[nodiscard]] const std::string *Find(std::string_view name) const;
 
 	/**
-	 * Adds a field.
-	 * @param name Its name.
-	 * @param value Its value.
+	 * Appends a field.
+	 * @param name Field name.
+	 * @param value Field value.
 	 */
 	void Add(std::string name, std::string value);
 
 	/**
-	 * Removes all fields of a name.
-	 * @param name The name.
+	 * Removes all fields with a name.
+	 * @param name Field name, compared case-insensitively.
 	 */
 	void Remove(std::string_view name);
 
-	/** Removes the fields that hold for one connection only (RFC 9110, 7.6.1), and framing fields. */
+	/** Removes hop-by-hop fields (RFC 9110, section 7.6.1) and Content-Length. */
 	void RemoveHopByHop();
 };
 
-/** A whole request of a caller. */
+/** A complete request of a caller. */
 struct CallerRequest {
 	std::string method;     ///< GET, POST, …
 	std::string target;     ///< Path and query.
-	HeaderList headers;     ///< Its fields.
-	std::string body;       ///< Whole body; bounded by the settings.
+	HeaderList headers;     ///< Header fields.
+	std::string body;       ///< Complete body; its size is limited by the settings.
 	bool from_peer = false; ///< Whether another entry forwarded it.
 };
 
-/** Head of an answer. */
+/** Status and header fields of a response. */
 struct ResponseHead {
-	int status = 200;               ///< HTTP status.
-	std::string reason;             ///< Reason phrase, may be empty.
-	HeaderList headers;             ///< Fields without framing.
-	std::optional<uint64_t> length; ///< Length of the body, when it is known beforehand.
-	bool no_body = false;           ///< Whether no body follows by definition (HEAD, 204, 304).
+	int status = 200;               ///< HTTP status code.
+	std::string reason;             ///< Reason phrase; may be empty.
+	HeaderList headers;             ///< Header fields without those that frame the body.
+	std::optional<uint64_t> length; ///< Length of the body in bytes, when known in advance.
+	bool no_body = false;           ///< Whether the response never has a body (HEAD, 204, 304).
 };
 
-/** The caller's end of a request. All calls on the request's own thread. */
+/** Sends the response of a request to its caller. All calls are made on the request's thread. */
 class CallerSink {
 public:
 	virtual ~CallerSink() = default;
 
 	/**
-	 * Begins the answer. Called once a request, unless it is broken before.
-	 * @param head The head.
+	 * Sends the head of the response. Called at most once per request.
+	 * @param head Status and header fields.
 	 */
 	virtual void Begin(const ResponseHead &head) = 0;
 
 	/**
 	 * Sends a part of the body.
-	 * @param data The part.
+	 * @param data Next bytes of the body.
 	 */
 	virtual void Body(std::string_view data) = 0;
 
-	/** Ends the answer: it is whole. */
+	/** Ends the response, which is complete. */
 	virtual void End() = 0;
 
-	/** Breaks the connection so that the caller can tell that the answer is not whole. */
+	/** Closes the connection early, so that the caller can tell that the response is incomplete. */
 	virtual void Abort() = 0;
 
-	/** @return Whether too much is waiting to be taken by the caller; Exchange::OnCallerWritable() tells when not. */
+	/** @return Whether the send buffer is full; ServedRequest::OnCallerWritable() is called once it has been sent. */
 	[[nodiscard]] virtual bool Congested() const = 0;
 };
 
-/** A request being served, as its connection knows it. */
+/** A request being served, as seen by its connection. */
 class ServedRequest {
 public:
 	virtual ~ServedRequest() = default;
 
-	/** The caller has closed its end: its sink must not be used any more. */
+	/** Called when the caller has disconnected; its sink must not be used after this. */
 	virtual void OnCallerDisconnected() = 0;
 
-	/** The caller has taken what was waiting for it. */
+	/** Called when the send buffer of the sink has been sent. */
 	virtual void OnCallerWritable() = 0;
 };
 
-/** Serves requests of a connection. Shared by all connections of a lane. */
+/** Serves the requests of connections. Shared by all connections of a thread. */
 class RequestHandler {
 public:
 	virtual ~RequestHandler() = default;
 
 	/**
-	 * Begins to serve a request.
-	 * @param sink The caller's end; may be used at once.
-	 * @param request The request.
-	 * @return The request being served; null when its answer has ended already.
+	 * Starts serving a request.
+	 * @param sink Receives the response; may be used before this returns.
+	 * @param request Request to serve.
+	 * @return Handle of the request; null when its response has ended already.
 	 */
 	virtual std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest request) = 0;
 
-	/** @return Whether connections should be closed as soon as they are idle. */
+	/** @return Whether connections should be closed once they are idle. */
 	[[nodiscard]] virtual bool Closing() const { return false; }
 };
 
 /** How a call to an endpoint failed. */
 enum class CallFailure : uint8_t {
-	CF_NOT_CONNECTED = 0, ///< No byte was offered to a socket: the request did not run.
-	CF_NO_RESPONSE = 1,   ///< Sent, but broke off before a whole head of an answer: unknown.
-	CF_TRUNCATED = 2,     ///< Broke off within the answer.
-	CF_MALFORMED = 3,     ///< The answer is not valid HTTP.
+	CF_NOT_CONNECTED = 0, ///< No byte was written to a socket: the request did not run.
+	CF_NO_RESPONSE = 1,   ///< Lost before a complete response head; whether the request ran is unknown.
+	CF_TRUNCATED = 2,     ///< Lost within the response body.
+	CF_MALFORMED = 3,     ///< The response is not valid HTTP.
 };
 
-/** What a call tells its owner. */
+/** Receives the events of a call. */
 class CallEvents {
 public:
 	virtual ~CallEvents() = default;
-	virtual void OnResponseHead(ResponseHead head) = 0;     ///< Head of the answer.
-	virtual void OnResponseBody(std::string_view data) = 0; ///< A part of its body.
-	virtual void OnResponseEnd() = 0;                       ///< The answer is whole.
-	virtual void OnCallFailed(CallFailure failure) = 0;     ///< No more will come.
+	virtual void OnResponseHead(ResponseHead head) = 0;     ///< The head has been received.
+	virtual void OnResponseBody(std::string_view data) = 0; ///< A part of the body has been received.
+	virtual void OnResponseEnd() = 0;                       ///< The response is complete.
+	virtual void OnCallFailed(CallFailure failure) = 0;     ///< The call has failed; no further events follow.
 };
 
-/** A call to an endpoint under way. Destroying it cuts the connection, unless the answer is whole. */
+/** A call to an endpoint in progress. Its destructor closes the connection unless the response is complete. */
 class EndpointCall {
 public:
 	virtual ~EndpointCall() = default;
 
 	/**
 	 * Stops or resumes reading from the endpoint.
-	 * @param paused Whether to stop.
+	 * @param paused Whether reading is stopped.
 	 */
 	virtual void SetPaused(bool paused) = 0;
 
-	/** No event comes after this. */
+	/** Detaches the call from its owner: no events are delivered after this. */
 	virtual void Abandon() = 0;
 };
 
-/** Starts calls to endpoints and peers. Never sends a request a second time by itself. */
+/** Starts calls to endpoints and peers. Does not retry a request by itself. */
 class EndpointDialer {
 public:
 	virtual ~EndpointDialer() = default;
 
 	/**
-	 * Starts a call. Events come later, never from inside this function.
-	 * @param address IP:port.
-	 * @param request What to send.
-	 * @param events Gets what happens; outlives the call.
-	 * @return The call.
+	 * Starts a call. Events are delivered after this returns, never from inside.
+	 * @param address IP:port to connect to.
+	 * @param request Request to send.
+	 * @param events Receives the events; outlives the call, unless Abandon() was called.
+	 * @return The call in progress.
 	 */
 	virtual std::unique_ptr<EndpointCall> Start(const std::string &address, const CallerRequest &request,
 												CallEvents &events) = 0;
 };
 
 /**
- * Compares header names and values without case.
- * @param a One text.
- * @param b Another.
- * @return Whether they are equal but for case.
+ * Compares header names or values, ignoring the case of ASCII letters.
+ * @param a First text.
+ * @param b Second text.
+ * @return Whether they are equal apart from case.
  */
 bool EqualsIgnoreCase(std::string_view a, std::string_view b);
 
-inline constexpr std::string_view HEADER_RUN = "Glade-Run";               ///< "no" or "unknown" on refusals.
-inline constexpr std::string_view HEADER_CODE = "Glade-Code";             ///< Number of the result code on refusals.
-inline constexpr std::string_view HEADER_DEADLINE = "Glade-Deadline-Ms";  ///< How long the caller waits.
-inline constexpr std::string_view HEADER_REPEATABLE = "Glade-Repeatable"; ///< "yes": the caller allows repeats.
-inline constexpr std::string_view HEADER_ACCOUNT = "Glade-Tenant";        ///< Client account, told to endpoints.
-inline constexpr std::string_view HEADER_EPOCH = "Glade-Box-Epoch";       ///< Epoch of the box, told to endpoints.
-inline constexpr std::string_view HEADER_FORWARDED = "Glade-Forwarded";   ///< Name of the forwarding entry.
-inline constexpr std::string_view HEADER_KEY = "Idempotency-Key";         ///< Key of a request that may not run twice.
-inline constexpr std::string_view HEADER_REPLAYED = "Glade-Replayed"; ///< "yes": remembered answer of an earlier run.
+inline constexpr std::string_view HEADER_RUN = "Glade-Run";   ///< Whether a refused request ran: "no" or "unknown".
+inline constexpr std::string_view HEADER_CODE = "Glade-Code"; ///< Number of the result code of a refusal.
+inline constexpr std::string_view HEADER_DEADLINE = "Glade-Deadline-Ms";  ///< How long the caller waits, ms.
+inline constexpr std::string_view HEADER_REPEATABLE = "Glade-Repeatable"; ///< "yes": the request may be repeated.
+inline constexpr std::string_view HEADER_ACCOUNT = "Glade-Tenant";        ///< Client account, for endpoints and peers.
+inline constexpr std::string_view HEADER_EPOCH = "Glade-Box-Epoch";       ///< Epoch of the box, for endpoints.
+inline constexpr std::string_view HEADER_FORWARDED = "Glade-Forwarded";   ///< Name of the forwarding entry, for peers.
+inline constexpr std::string_view HEADER_KEY = "Idempotency-Key";         ///< Key of a request that must not run twice.
+inline constexpr std::string_view HEADER_REPLAYED = "Glade-Replayed"; ///< "yes": a stored response of an earlier run.
 
 #endif /* REQUEST_TYPE_H */
