--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -1,5 +1,4 @@
-/** @file retry_budget.h A share of recent successes that may be spent on retries, so that retries never multiply load.
- */
+/** @file retry_budget.h Limits retries to a percentage of successes, so that retries do not multiply load. */
 #ifndef RETRY_BUDGET_H
 #define RETRY_BUDGET_H
 
@@ -7,19 +6,19 @@
 #include <atomic>
 #include <cstdint>
 
-/** Token bucket filled by successes. Thread safe. */
+/** Token bucket that successful requests fill and retries drain. Thread safe. */
 class RetryBudget {
 public:
 	/**
-	 * @param percent Tokens per hundred successes.
-	 * @param most Most retries that can be saved up; the bucket starts full.
+	 * @param percent Retries earned per hundred successes.
+	 * @param capacity Most retries that can be saved up; the bucket starts full.
 	 */
 	explicit RetryBudget(uint32_t percent = 10, uint32_t capacity = 20)
 			: percent(percent), capacity(int64_t{capacity} * SCALE), tokens(int64_t{capacity} * SCALE)
 	{
 	}
 
-	/** Counts a success. */
+	/** Records a successful request. */
 	void OnSuccess()
 	{
 		const int64_t now = this->tokens.fetch_add(this->percent) + this->percent;
@@ -29,12 +28,15 @@
 	}
 
 	/**
-	 * Puts one retry into the bucket, whatever succeeded: for baselines without a budget.
+	 * Adds one retry to the bucket without a success and beyond its capacity: for benchmark baselines without a budget.
 	 * @return Retries in the bucket.
 	 */
 	int64_t AddRetry() { return (this->tokens.fetch_add(SCALE) + SCALE) / SCALE; }
 
-	/** @return Whether a retry may be made; it is paid for when so. */
+	/**
+	 * Takes one retry from the bucket.
+	 * @return Whether there was one; if not, no retry may be made.
+	 */
 	bool TrySpend()
 	{
 		if (this->tokens.fetch_sub(SCALE) >= SCALE) {
@@ -45,11 +47,11 @@
 	}
 
 private:
-	static constexpr int64_t SCALE = 100; ///< Tokens that a retry costs.
+	static constexpr int64_t SCALE = 100; ///< Tokens per retry.
 
-	int64_t percent;             ///< Tokens per success.
-	int64_t capacity;            ///< Largest content.
-	std::atomic<int64_t> tokens; ///< Content.
+	int64_t percent;             ///< Tokens added per success.
+	int64_t capacity;            ///< Capacity in tokens.
+	std::atomic<int64_t> tokens; ///< Tokens in the bucket.
 };
 
 #endif /* RETRY_BUDGET_H */
--- a/src/request/slot_broker.cpp
+++ b/src/request/slot_broker.cpp
@@ -1,4 +1,4 @@
-/** @file slot_broker.cpp Lends and borrows slots among the entries of a zone. */
+/** @file slot_broker.cpp Lending and borrowing of slots among the entries of a zone. */
 #include "slot_broker.h"
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr Millis MAX_ASK_INTERVAL(640);   ///< Longest pause between two requests, while nobody lends.
-constexpr Millis MIN_ASK_INTERVAL(20);    ///< Shortest time between two requests for slots of a pool.
-constexpr Millis BROADCAST_INTERVAL(160); ///< From this pause on all peers are asked at once.
-constexpr Millis WANT_TIMEOUT(700);       ///< How long a request for slots that could not be met is remembered.
-constexpr uint32_t EXTRA_SLOTS = 2;       ///< Slots asked for beyond what waits: load that comes will want them.
+constexpr Millis MAX_ASK_INTERVAL(640);   ///< Longest interval between requests, while no entry lends.
+constexpr Millis MIN_ASK_INTERVAL(20);    ///< Shortest interval between requests for slots of a pool.
+constexpr Millis BROADCAST_INTERVAL(160); ///< Interval from which requests go to all peers, not one.
+constexpr Millis WANT_TIMEOUT(700);       ///< How long the unmet part of a peer's request is kept.
+constexpr uint32_t EXTRA_SLOTS = 2;       ///< Slots requested beyond the queue, for load that is about to arrive.
 
-/** Builds a message around its body. */
+/** Wraps a message body into the union of messages. */
 template <class T>
 MessageUnion MakeMessage(T body)
 {
@@ -22,7 +22,7 @@
 	return message;
 }
 
-/** Reads the slots of a message. */
+/** Reads the slots of a message, by box. */
 template <class T>
 SlotCounts ReadCounts(const T &message)
 {
@@ -33,7 +33,7 @@
 	return slots;
 }
 
-/** Writes slots into a message. */
+/** Appends slots to a message. */
 template <class T>
 void WriteCounts(T &message, const SlotCounts &slots)
 {
@@ -95,11 +95,11 @@
 	if (peers.empty() || state.last + state.interval > now) {
 		return;
 	}
-	/* When everybody is busy, asking often helps nobody. */
+	/* Backs off while no peer lends: frequent requests only add load when all entries are busy. */
 	state.interval = state.answered ? MIN_ASK_INTERVAL : std::min(Millis(state.interval.Value() * 2), MAX_ASK_INTERVAL);
 	state.answered = false;
 	state.last = now;
-	/* What this entry has lent itself comes first: then nobody else needs to give. */
+	/* Recalls own slots that are lent out first, since then no other entry has to lend. */
 	if (gate.LentSlots() > 0) {
 		this->Recall(pool, gate.SlotDemand(now), peers);
 	}
@@ -146,7 +146,7 @@
 			back.pool = pool.Value();
 			WriteCounts(back, slots);
 			if (!this->Send(lender, MakeMessage(std::move(back)))) {
-				/* Nobody there now: kept, to be given back later. */
+				/* No connection to the lender: keeps the slots and retries on a later tick. */
 				gate->Borrow(lender.name, slots, this->scheduler.Now());
 			}
 		}
@@ -233,7 +233,7 @@
 	Loan &loan = this->loans[peer.name];
 	const bool owes = std::ranges::any_of(loan.slots, [](const auto &it) { return TotalOf(it.second) > 0; });
 	if (owes && loan.incarnation != peer.incarnation) {
-		return 0; /* Its earlier start still owes slots. */
+		return 0; /* The borrower's previous incarnation still holds slots. */
 	}
 	loan.incarnation = peer.incarnation;
 	const SlotCounts slots = gate->second->Lend(count, this->scheduler.Now());
@@ -272,7 +272,7 @@
 	SlotCounts &owed = this->loans[MemberName(back.from)].slots[pool];
 	SlotCounts counted;
 	for (const auto &[box, count] : ReadCounts(back)) {
-		/* No more than was lent: a message told twice must not make slots. */
+		/* Counts at most what was lent: a message delivered twice must not create slots. */
 		const uint32_t returned = std::min(owed[box], count);
 		owed[box] -= returned;
 		counted[box] = returned;
--- a/src/request/slot_broker.h
+++ b/src/request/slot_broker.h
@@ -1,4 +1,4 @@
-/** @file slot_broker.h Lends and borrows slots among the entries of a zone, so that shares follow the load. */
+/** @file slot_broker.h Lends and borrows slots among the entries of a zone, so that their shares follow the load. */
 #ifndef SLOT_BROKER_H
 #define SLOT_BROKER_H
 
@@ -8,89 +8,90 @@
 
 #include <set>
 
-/** How a broker reaches the other entries of its zone. */
+/** Sends messages to the other entries of the zone. */
 class SlotTransport {
 public:
 	virtual ~SlotTransport() = default;
 
 	/**
-	 * Sends a message; it may be lost with the connection.
-	 * @param to The entry.
-	 * @param message The message.
-	 * @return Whether there is a connection.
+	 * Sends a message, which is lost when the connection breaks.
+	 * @param to Entry to send it to.
+	 * @param message Message to send.
+	 * @return Whether there is a connection to the entry.
 	 */
 	virtual bool Send(const Peer &to, const glade::wire::MessageUnion &message) = 0;
 };
 
-/** Counters of a broker. */
+/** Counters of a broker, since its start. */
 struct BrokerCounters {
-	uint64_t messages = 0;  ///< Messages sent.
-	uint64_t lent = 0;      ///< Slots lent.
-	uint64_t borrowed = 0;  ///< Slots borrowed.
-	uint64_t reclaimed = 0; ///< Slots taken back since their borrower is gone for good.
+	uint64_t messages = 0;  ///< Messages sent, including those without a connection.
+	uint64_t lent = 0;      ///< Slots lent to other entries.
+	uint64_t borrowed = 0;  ///< Slots borrowed from other entries.
+	uint64_t reclaimed = 0; ///< Slots reclaimed from borrowers that left the membership.
 };
 
 /**
- * Each slot of an endpoint belongs to one entry by SlotShare(). An entry with requests waiting asks the others for
- * idle slots; what is lent is not used by the lender until it comes back. So no moment passes the endpoint's limit,
- * whatever messages are lost; a borrower that vanishes keeps its slots until it has left the membership and whatever
- * it had running has ended.
+ * Each slot of an endpoint belongs to one entry by SlotShare(). An entry with queued requests asks the others for idle
+ * slots; the lender does not use a lent slot until it is returned. The endpoint's limit therefore holds at any time,
+ * whichever messages are lost. Slots of a borrower that disappears are reclaimed only after it has left the membership
+ * and the requests that it had running have ended.
  */
 class SlotBroker {
 public:
 	/**
-	 * @param scheduler Clock and timers.
-	 * @param routes Gates and peers.
-	 * @param self This entry.
-	 * @param mail Sends messages.
-	 * @param patience How long an endpoint may work on for an entry that has vanished.
+	 * @param scheduler Clock, ms.
+	 * @param routes Gates of the pools and entries of the zone.
+	 * @param self Name of this entry.
+	 * @param transport Sends messages to other entries; outlives this.
+	 * @param reclaim_delay Time after a borrower's departure until its slots are reclaimed: the longest time that an
+	 * endpoint may go on with its requests.
 	 */
 	SlotBroker(Scheduler &scheduler, RouteTable &routes, MemberName self, SlotTransport &transport,
 			   Millis reclaim_delay);
 
-	/** Asks for slots, and gives back what is idle. Called some twenty times a second. */
+	/** Requests, returns and reclaims slots. Called about twenty times a second. */
 	void Tick();
 
 	/**
-	 * A message of another entry.
-	 * @param message The message.
+	 * Handles a message of another entry.
+	 * @param message One of SlotWant, SlotLend, SlotReturn and SlotRecall; others are ignored.
 	 */
 	void OnMessage(const glade::wire::MessageUnion &message);
 
-	/** @return Counters. */
+	/** @return Counters since the start. */
 	[[nodiscard]] const BrokerCounters &Counters() const { return this->counters; }
 
 private:
 	/** Slots lent to one entry. */
 	struct Loan {
-		std::map<PoolName, SlotCounts> slots; ///< What is lent.
-		Incarnation incarnation;              ///< Start of the borrower.
-		Millis absent_since;                  ///< Since when it is not among the members; 0 for present.
+		std::map<PoolName, SlotCounts> slots; ///< Slots lent, by pool.
+		Incarnation incarnation;              ///< Incarnation of the borrower.
+		Millis absent_since;                  ///< Time since which the borrower is not a member; 0 while it is.
 	};
 
-	Scheduler &scheduler;             ///< Clock and timers.
-	RouteTable &routes;               ///< Gates and peers.
-	MemberName self;                  ///< This entry.
-	SlotTransport &transport;         ///< Sends messages.
-	Millis reclaim_delay;             ///< For entries that have vanished.
-	std::map<MemberName, Loan> loans; ///< What others hold of ours.
-	/** How a pool's slots are asked for. */
+	Scheduler &scheduler;             ///< Clock.
+	RouteTable &routes;               ///< Gates of the pools and entries of the zone.
+	MemberName self;                  ///< Name of this entry.
+	SlotTransport &transport;         ///< Sends messages to other entries.
+	Millis reclaim_delay;             ///< Delay until the slots of an absent borrower are reclaimed.
+	std::map<MemberName, Loan> loans; ///< Slots lent, by borrower.
+	/** Backoff of the requests for slots of a pool. */
 	struct AskBackoff {
-		Millis last = Millis(-MS_PER_DAY); ///< When slots were last asked for.
-		Millis interval;                   ///< Pause until the next time; doubles while nobody lends.
-		bool answered = true;              ///< Whether anybody lent since.
+		Millis last = Millis(-MS_PER_DAY); ///< Time of the last request.
+		Millis interval;                   ///< Interval until the next request; doubles while no entry lends.
+		bool answered = true;              ///< Whether slots were lent or returned since the last request.
 	};
 
-	/** A request for slots that could not be met yet. */
+	/** Unmet part of a request for slots. */
 	struct PendingWant {
-		uint32_t count = 0; ///< Slots wanted.
-		Millis at;          ///< When it came.
+		uint32_t count = 0; ///< Slots still wanted.
+		Millis at;          ///< Time of arrival.
 	};
 
-	std::map<PoolName, AskBackoff> backoffs;                             ///< By pool.
-	std::map<PoolName, std::map<MemberName, PendingWant>> pending_wants; ///< Met as soon as slots fall idle.
-	std::map<PoolName, size_t> next_peer;                                ///< Whom to ask next.
-	BrokerCounters counters;                                             ///< Counters.
+	std::map<PoolName, AskBackoff> backoffs;                             ///< Backoff by pool.
+	std::map<PoolName, std::map<MemberName, PendingWant>> pending_wants; ///< Unmet requests by pool and entry.
+	std::map<PoolName, size_t> next_peer;                                ///< Index of the next peer to ask, by pool.
+	BrokerCounters counters;                                             ///< Counters since the start.
 
 	void RequestSlots(const PoolName &pool, PoolGate &gate, const std::vector<Peer> &peers);
 	void Recall(const PoolName &pool, uint32_t count, const std::vector<Peer> &peers);
