--- a/src/request/key_memory.cpp
+++ b/src/request/key_memory.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr size_t UUID_LENGTH = 36;     ///< Characters of a UUID's text.
-constexpr size_t UUID_VERSION_AT = 14; ///< Place of its version digit.
-constexpr size_t MILLIS_DIGITS = 13;   ///< Digits of the milliseconds since 1970, from 2001 to 2286.
+constexpr size_t UUID_LENGTH = 36;     ///< Characters of a UUID in text form.
+constexpr size_t UUID_VERSION_AT = 14; ///< Index of the version digit.
+constexpr size_t MILLIS_DIGITS = 13;   ///< Digits of the milliseconds since 1970, in the years 2001 to 2286.
 
 /**
- * Reads a whole number.
- * @param text The digits.
- * @param base Base.
- * @return The number, or nothing.
+ * Parses a time.
+ * @param text Digits.
+ * @param base Base of the digits.
+ * @return Time, ms; nothing when the text is no number from 0 on.
  */
 std::optional<Millis> ParseMillis(const std::string &text, int base)
 {
@@ -48,7 +48,7 @@
 
 void KeyMemory::Expire(Shard &shard, Millis now) const
 {
-	/* A key is remembered for as long as any entry could still accept it. */
+	/* A key is kept while any entry could accept it: `window`, plus the clock skew of caller and entry. */
 	const Millis keep = this->limits.window + this->limits.skew + this->limits.skew;
 	auto it = shard.by_issue_time.begin();
 	while (it != shard.by_issue_time.end() && it->first + keep < now) {
--- a/src/request/request_path.cpp
+++ b/src/request/request_path.cpp
@@ -1,11 +1,11 @@
-/** @file request_path.cpp What all requests of an entry share. */
+/** @file request_path.cpp State shared by all requests of an entry. */
 #include "request_path.h"
 
 #include <array>
 
 namespace {
 
-constexpr std::array<double, 2> _quantiles = {0.5, 0.99}; ///< Quantiles that a meter follows.
+constexpr std::array<double, 2> _quantiles = {0.5, 0.99}; ///< Quantiles that a meter estimates.
 
 } // namespace
 
--- a/src/request/request_path.h
+++ b/src/request/request_path.h
@@ -1,4 +1,4 @@
-/** @file request_path.h What all requests of an entry share: routes, keys, retry budget, credentials, counters. */
+/** @file request_path.h State shared by all requests of an entry: routes, keys, retry budget, credentials, counters. */
 #ifndef REQUEST_PATH_H
 #define REQUEST_PATH_H
 
@@ -6,7 +6,7 @@
 #include "retry_budget.h"
 #include "route_table.h"
 
-#include <sstream> // Boost.Accumulators' quantiles use it without including it.
+#include <sstream> // Used by Boost.Accumulators' quantiles, which do not include it.
 
 #include <boost/accumulators/accumulators.hpp>
 #include <boost/accumulators/statistics/count.hpp>
@@ -17,68 +17,68 @@
 
 #include <atomic>
 
-/** A member firm's credential, as a hash: the token itself is never kept. */
+/** A credential of a client account. Holds a hash of the token, never the token. */
 struct Credential {
-	AccountName account;            ///< Client account.
-	KeyHash token_hash;             ///< Hash of its bearer token.
-	std::set<ServiceName> services; ///< Services that it may use; empty for all.
+	AccountName account;            ///< Client account that the token identifies.
+	KeyHash token_hash;             ///< Hash of the bearer token.
+	std::set<ServiceName> services; ///< Services that the account may use; empty for all.
 };
 
-/** Finds the member firm behind a token. */
+/** Finds the credential that belongs to a token. */
 class CredentialStore {
 public:
 	virtual ~CredentialStore() = default;
 
 	/**
-	 * @param authorization Value of the Authorization field, or null.
-	 * @return The credential, or null.
+	 * @param authorization Value of the Authorization field; null when the request has none.
+	 * @return Matching credential; null when there is none.
 	 */
 	[[nodiscard]] virtual const Credential *Find(const std::string *authorization) const = 0;
 };
 
-/** How requests are handled. */
+/** Settings for the handling of requests. */
 struct RequestSettings {
-	Millis deadline_urgent = Millis(1000);  ///< Deadline of urgent requests that name none.
-	Millis deadline_normal = Millis(10000); ///< The same of normal ones.
-	Millis deadline_batch = Millis(60000);  ///< The same of batch ones.
-	Millis deadline_max = Millis(600000);   ///< Longest deadline that a caller may name.
-	Millis detach_patience = Millis(30000); ///< How long an endpoint may work on after its caller left.
-	uint32_t max_attempts = 3;              ///< Most endpoints that one request is offered to.
-	bool spillover = true;                  ///< Ask other zones when the own has nothing.
+	Millis deadline_urgent = Millis(1000);  ///< Default deadline of urgent requests.
+	Millis deadline_normal = Millis(10000); ///< Default deadline of normal requests.
+	Millis deadline_batch = Millis(60000);  ///< Default deadline of batch requests.
+	Millis deadline_max = Millis(600000);   ///< Longest deadline that a caller may request.
+	Millis detach_patience = Millis(30000); ///< How long a call may go on after its caller left or was answered.
+	uint32_t max_attempts = 3;              ///< Most endpoints that a request is sent to.
+	bool spillover = true; ///< Whether requests are forwarded to another zone when this one has no free slot.
 };
 
-/** Counters of the request path. */
+/** Counters of requests, since the start. */
 struct RequestCounters {
-	std::atomic<uint64_t> received{0};     ///< Requests.
-	std::atomic<uint64_t> answered{0};     ///< Whole answers passed on.
-	std::atomic<uint64_t> refused{0};      ///< Refused as not run.
-	std::atomic<uint64_t> unknown{0};      ///< Ended as unknown.
-	std::atomic<uint64_t> retries{0};      ///< Sent again, after "not run" or since they may be repeated.
-	std::atomic<uint64_t> forwarded{0};    ///< Sent to another entry.
-	std::atomic<uint64_t> replayed{0};     ///< Answered from the memory of keys.
-	std::atomic<uint64_t> broken{0};       ///< Answers broken off.
-	std::atomic<uint64_t> callers_left{0}; ///< Callers that left before their answer.
-	std::atomic<int64_t> open{0};          ///< Requests under way.
+	std::atomic<uint64_t> received{0};  ///< Requests received.
+	std::atomic<uint64_t> answered{0};  ///< Complete responses sent to callers.
+	std::atomic<uint64_t> refused{0};   ///< Refusals of requests that did not run.
+	std::atomic<uint64_t> unknown{0};   ///< Requests of which it is unknown whether they ran.
+	std::atomic<uint64_t> retries{0};   ///< Repeated sends, after the request did not run or since it may be repeated.
+	std::atomic<uint64_t> forwarded{0}; ///< Requests forwarded to another entry.
+	std::atomic<uint64_t> replayed{0};  ///< Responses from the key memory.
+	std::atomic<uint64_t> broken{0};    ///< Responses that ended incomplete.
+	std::atomic<uint64_t> callers_left{0}; ///< Callers that disconnected before their response was complete.
+	std::atomic<int64_t> open{0};          ///< Requests in progress.
 };
 
-/** Latencies of one service, by Boost.Accumulators. */
+/** Latency statistics of one service. */
 class LatencyMeter {
 public:
 	LatencyMeter();
 
-	/** @param ms Time from the whole request to the end of its answer. */
+	/** @param ms Time from the complete request to the end of its response, ms. */
 	void Add(double ms);
 
-	/** Count, mean and quantiles. */
+	/** Summary of the latencies. */
 	struct Summary {
-		uint64_t count = 0; ///< Requests.
+		uint64_t count = 0; ///< Number of requests.
 		double mean = 0;    ///< Mean, ms.
 		double p50 = 0;     ///< Median, ms.
-		double p99 = 0;     ///< 99th of a hundred, ms.
-		double max = 0;     ///< Longest, ms.
+		double p99 = 0;     ///< 99th percentile, ms.
+		double max = 0;     ///< Maximum, ms.
 	};
 
-	/** @return The summary so far. */
+	/** @return Summary since the start. */
 	[[nodiscard]] Summary Read() const;
 
 private:
@@ -87,45 +87,45 @@
 											boost::accumulators::tag::extended_p_square_quantile>;
 
 	mutable std::mutex lock;                                ///< Guards the accumulator.
-	boost::accumulators::accumulator_set<double, Tags> set; ///< The accumulator.
+	boost::accumulators::accumulator_set<double, Tags> set; ///< Accumulator of the latencies in ms.
 };
 
-/** What all requests of an entry share. Thread safe. */
+/** State shared by all requests of an entry. Thread safe. */
 class RequestPath {
 public:
 	/**
-	 * @param self Who this entry is.
-	 * @param gates Settings of gates.
-	 * @param times Lease times.
-	 * @param keys Limits of the memory of keys.
-	 * @param settings How requests are handled.
-	 * @param credentials Who may call; outlives this.
+	 * @param self Identity of this entry.
+	 * @param gates Settings of the pool gates.
+	 * @param times Times that key ownership depends on.
+	 * @param keys Limits of the key memory.
+	 * @param settings Settings for the handling of requests.
+	 * @param credentials Finds the credentials of callers; outlives this.
 	 */
 	RequestPath(EntryIdentity self, GateSettings gates, LeaseTimes times, KeyLimits keys, RequestSettings settings,
 				const CredentialStore &credentials);
 
-	EntryIdentity self;                 ///< Who this entry is.
-	RequestSettings settings;           ///< How requests are handled.
-	RouteTable routes;                  ///< The fleet as this entry knows it.
-	KeyMemory keys;                     ///< Memory of keys.
-	RetryBudget retries;                ///< What may be spent on retries.
-	const CredentialStore &credentials; ///< Who may call.
-	RequestCounters counters;           ///< Counters.
-	std::atomic<bool> stopping{false};  ///< A planned stop is under way: nothing new.
+	EntryIdentity self;                 ///< Identity of this entry.
+	RequestSettings settings;           ///< Settings for the handling of requests.
+	RouteTable routes;                  ///< Services, gates and peers of the view in force.
+	KeyMemory keys;                     ///< Idempotency keys of requests that ran here.
+	RetryBudget retries;                ///< Budget for retries.
+	const CredentialStore &credentials; ///< Finds the credentials of callers.
+	RequestCounters counters;           ///< Counters since the start.
+	std::atomic<bool> stopping{false};  ///< Whether a planned stop is in progress; new requests are refused.
 
 	/**
-	 * Counts the time of an answered request.
-	 * @param service Its service.
-	 * @param ms Its time.
+	 * Adds the latency of a request to the statistics of its service.
+	 * @param service Service of the request.
+	 * @param ms Latency, ms.
 	 */
 	void RecordLatency(const ServiceName &service, double ms);
 
-	/** @return Latencies by service. */
+	/** @return Latency summaries by service. */
 	[[nodiscard]] std::map<ServiceName, LatencyMeter::Summary> Latencies() const;
 
 private:
-	mutable std::mutex lock;                                        ///< Guards the map, not the meters.
-	std::map<ServiceName, std::unique_ptr<LatencyMeter>> latencies; ///< By service.
+	mutable std::mutex lock;                                        ///< Guards the map; each meter has its own lock.
+	std::map<ServiceName, std::unique_ptr<LatencyMeter>> latencies; ///< Meters by service.
 };
 
 #endif /* REQUEST_PATH_H */
--- a/src/request/route_func.cpp
+++ b/src/request/route_func.cpp
@@ -1,4 +1,4 @@
-/** @file route_func.cpp Pure rules of routing: hashes, slot shares, owners of keys. */
+/** @file route_func.cpp Pure functions for routing: hashes, slot shares, owners of keys. */
 #include "route_func.h"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 namespace {
 
 /**
- * Weight of a peer for a text; the largest owns it.
- * @param text The text.
- * @param peer The peer's name.
- * @return The weight.
+ * Rendezvous weight of a peer for a text; the peer with the largest weight owns the text.
+ * @param text Text to be owned.
+ * @param peer Name of the peer.
+ * @return Weight as a 64-bit hash.
  */
 uint64_t RendezvousWeight(std::string_view text, const MemberName &peer)
 {
--- a/src/request/route_table.cpp
+++ b/src/request/route_table.cpp
@@ -1,4 +1,4 @@
-/** @file route_table.cpp What an entry knows of the fleet. */
+/** @file route_table.cpp Routing state of an entry. */
 #include "route_table.h"
 
 #include <algorithm>
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr size_t HISTORY_LENGTH = 32; ///< Membership changes that are remembered.
-constexpr uint64_t MILLION = 1000000; ///< Scale of shares.
+constexpr size_t HISTORY_LENGTH = 32; ///< Most membership changes kept.
+constexpr uint64_t MILLION = 1000000; ///< Scale of slot shares.
 
-/** Joins fields for hashing. */
+/** Joins fields to a text for hashing, each followed by a line break. */
 template <class... Parts>
 std::string JoinFields(const Parts &...parts)
 {
@@ -132,7 +132,7 @@
 	for (const auto &it : view.peers) {
 		this->peers[MemberName(it->member)] = ParsePeer(*it);
 	}
-	/* Pools are few: a view that changes any of them carries all. */
+	/* A view that changes any pool has all of them, since there are few. */
 	if (!view.pools.empty()) {
 		this->pool_slots.clear();
 	}
@@ -146,7 +146,7 @@
 	if (view.zone_changes == this->zone_changes && !this->history.empty()) {
 		return;
 	}
-	/* With a change missed, somebody unknown may have owned any key until now. */
+	/* After a missed change, an unknown entry may have owned any key until now, so the history is void. */
 	if (view.zone_changes != this->zone_changes + 1) {
 		this->history.clear();
 	}
@@ -161,7 +161,7 @@
 {
 	const std::vector<Peer> zone = this->EntriesOf(this->self.zone);
 	if (zone != this->gate_peers) {
-		/* Others with the old view may use these slots for as long as their lease lasts. */
+		/* Entries with the old view may use these slots until their lease has ended. */
 		this->gained_usable_from = zone.size() > 1 || !this->gate_peers.empty() ? now + this->times.settle : now;
 		this->gate_peers = zone;
 	}
@@ -199,7 +199,7 @@
 		return ResultCode::RC_STATE_MISMATCH;
 	}
 	if (LogOffset(view.offset) < this->offset) {
-		return ResultCode::RC_OK; /* A keeper that lags behind what this entry has: configuration never reverts. */
+		return ResultCode::RC_OK; /* Sent by a keeper that lags behind this entry; the configuration never goes back. */
 	}
 	this->ApplyParts(view);
 	uint64_t sum = 0;
@@ -260,8 +260,8 @@
 	if (now >= this->lease_until) {
 		return ResultCode::RC_KEY_LEASE_LAPSED;
 	}
-	/* Every list of entries that may have been believed since the key was made must name this entry as owner. An old
-	 * list is believed for `settle` after the change that ended it. */
+	/* This entry must be the owner by every membership that any entry may have had in force since the key was issued.
+	 * An old membership may be in force for `settle` after the change that replaced it. */
 	for (auto it = this->history.rbegin(); it != this->history.rend(); ++it) {
 		if (it->peers.empty()) {
 			return ResultCode::RC_KEY_BEFORE_TAKEOVER;
--- a/src/request/route_table.h
+++ b/src/request/route_table.h
@@ -1,4 +1,4 @@
-/** @file route_table.h What an entry knows of the fleet: services, gates, peers, owners of keys, its lease. */
+/** @file route_table.h Routing state of an entry: services, gates, peers, owners of keys, lease. */
 #ifndef ROUTE_TABLE_H
 #define ROUTE_TABLE_H
 
@@ -11,130 +11,134 @@
 #include <deque>
 #include <shared_mutex>
 
-/** A service as an entry routes it. */
+/** Route of a service. */
 struct Route {
-	ServiceRow row;                 ///< Its row.
-	std::shared_ptr<PoolGate> gate; ///< Gate of its pool.
+	ServiceRow row;                 ///< Configuration of the service.
+	std::shared_ptr<PoolGate> gate; ///< Gate of the service's pool.
 };
 
-/** Who must handle a keyed request. */
+/** Entry that must handle a request with an idempotency key. */
 struct KeyOwner {
-	ResultCode code = ResultCode::RC_OK; ///< RC_OK, or why nobody may run it.
-	bool self = false;                   ///< This entry.
-	std::string address;                 ///< Else the peer to forward to.
-	MemberName name;                     ///< The owner's name.
+	ResultCode code = ResultCode::RC_OK; ///< RC_OK, or the reason why no entry may run the request.
+	bool self = false;                   ///< Whether this entry is the owner.
+	std::string address;                 ///< IP:port of the owner for forwarded requests.
+	MemberName name;                     ///< Name of the owner.
 };
 
-/** Who this entry is. */
+/** Identity of an entry. */
 struct EntryIdentity {
-	MemberName name;         ///< Its name.
-	ZoneName zone;           ///< Its zone.
-	Incarnation incarnation; ///< Its start.
+	MemberName name;         ///< Name of the entry.
+	ZoneName zone;           ///< Zone of the entry.
+	Incarnation incarnation; ///< Incarnation of the entry; changes with each start.
 };
 
-/** Times on which ownership of keys rests. */
+/** Times that the ownership of keys depends on. */
 struct LeaseTimes {
-	Millis settle = Millis(4000); ///< How long after a change of membership an entry with the old view may own keys.
+	Millis settle = Millis(4000); ///< How long an entry with an old view may own keys after a membership change.
 };
 
 /**
- * The view of an entry, applied as it arrives. Thread safe. Without a lease, or cut off, the last view stays in use
- * for everything but the ownership of keys.
+ * Routing state of an entry, updated by views from the keepers. Thread safe. Without a lease or a connection, the last
+ * view stays in use for everything except the ownership of keys.
  */
 class RouteTable {
 public:
 	/**
-	 * @param self Who this entry is.
-	 * @param gates Settings of gates.
-	 * @param times Lease times.
+	 * @param self Identity of this entry.
+	 * @param gates Settings of the pool gates.
+	 * @param times Times that key ownership depends on.
 	 */
 	RouteTable(EntryIdentity self, GateSettings gates, LeaseTimes times);
 
 	/**
-	 * Applies a view: a whole one, or the changes since the version in force.
-	 * @param view The view.
-	 * @param now Lane's clock.
-	 * @return RC_OK; RC_STATE_MISMATCH when the result has another hash: ask for a whole view then.
+	 * Applies a complete view, or the changes since the version in force.
+	 * @param view View to apply; one older than the offset in force is ignored.
+	 * @param now Scheduler's clock.
+	 * @return RC_OK; RC_STATE_MISMATCH when the base version or the resulting hash differs and a complete view must be
+	 * requested.
 	 */
 	ResultCode Apply(const glade::wire::ViewT &view, Millis now);
 
 	/**
-	 * Extends the lease.
-	 * @param until Lane's clock.
+	 * Extends the lease; never shortens it.
+	 * @param until End of the lease, by the scheduler's clock.
 	 */
 	void ExtendLease(Millis until);
 
 	/**
-	 * The view in force shows the fleet up to a later offset too: nothing in it has changed since.
-	 * @param seen The offset.
+	 * Records that the view in force is current up to a later log offset.
+	 * @param seen Log offset without changes to the view.
 	 */
 	void AdvanceOffset(LogOffset seen);
 
-	/** @return Whether the lease holds. */
+	/**
+	 * @param now Scheduler's clock.
+	 * @return Whether the lease is valid.
+	 */
 	[[nodiscard]] bool LeaseHolds(Millis now) const;
 
 	/**
-	 * @param service A service's name.
-	 * @return Its route; nothing when the table has no such service.
+	 * @param service Name of a service.
+	 * @return Route of the service; nothing when it is unknown.
 	 */
 	[[nodiscard]] std::optional<Route> Find(const ServiceName &service) const;
 
 	/**
-	 * Finds who must handle a key, and whether anybody may.
-	 * @param id The key.
-	 * @param issued When the caller made it.
-	 * @param skew How far clocks may differ.
-	 * @param now Lane's clock.
+	 * Finds the entry that owns a key and checks whether this entry may act as owner.
+	 * @param id Key with its scope.
+	 * @param issued Time of issue of the key, ms since 1970.
+	 * @param skew Largest difference between clocks.
+	 * @param now Scheduler's clock.
 	 * @return The owner.
 	 */
 	[[nodiscard]] KeyOwner OwnerOf(const KeyId &id, Millis issued, Millis skew, Millis now) const;
 
-	/** @return Entries of other zones, by name. */
+	/** @return Entries of other zones, sorted by name. */
 	[[nodiscard]] std::vector<Peer> PeersElsewhere() const;
 
-	/** @return All gates by pool. */
+	/** @return Gates by pool. */
 	[[nodiscard]] std::map<PoolName, std::shared_ptr<PoolGate>> Gates() const;
 
 	/** @return Version and hash of the view in force; version 0 for none. */
 	[[nodiscard]] std::pair<uint64_t, uint64_t> Version() const;
 
-	/** @return Log offset that the view in force shows. */
+	/** @return Log offset up to which the view in force is current. */
 	[[nodiscard]] LogOffset Offset() const;
 
-	/** @return Table version in force is known once a view is there. */
+	/** @return Whether a view is in force. */
 	[[nodiscard]] bool HasView() const { return this->Version().first != 0; }
 
-	/** @return Services, for dumps. */
+	/** @return Configuration of all services, for dumps. */
 	[[nodiscard]] std::vector<ServiceRow> Rows() const;
 
-	/** @return Entries of the own zone. */
+	/** @return Entries of this entry's zone, including itself. */
 	[[nodiscard]] std::vector<Peer> ZonePeers() const;
 
 private:
-	/** The entries of the zone over a stretch of log time. */
+	/** Entries of the zone from one membership change to the next. */
 	struct ZoneEntries {
-		Millis since;            ///< Log time of the change that began it.
-		std::vector<Peer> peers; ///< Who was there.
+		Millis since;            ///< Log time of the membership change, ms since 1970.
+		std::vector<Peer> peers; ///< Entries after the change.
 	};
 
-	mutable std::shared_mutex lock;                          ///< Guards all that follows.
-	EntryIdentity self;                                      ///< Who this entry is.
-	GateSettings gate_settings;                              ///< Settings of gates.
-	LeaseTimes times;                                        ///< Lease times.
-	std::map<BoxName, glade::wire::ViewEndpointT> endpoints; ///< Endpoints of the zone.
-	std::map<ServiceName, ServiceRow> rows;                  ///< Services.
-	std::map<MemberName, Peer> peers;                        ///< All entries.
-	std::map<PoolName, uint32_t> pool_slots;                 ///< Slots of pools, fleet-wide.
-	std::vector<std::string> zones;                          ///< Zones that share the keys.
-	std::map<PoolName, std::shared_ptr<PoolGate>> gates;     ///< Gates.
-	uint64_t version = 0;                                    ///< View in force.
-	uint64_t hash = 0;                                       ///< Its hash.
-	LogOffset offset;                                        ///< Its log offset.
-	std::vector<Peer> gate_peers;                            ///< Entries of the zone at the last update of gates.
-	Millis gained_usable_from;                               ///< When slots gained by the last change may be used.
-	uint64_t zone_changes = 0;                               ///< Membership changes of the zone.
-	std::deque<ZoneEntries> history;                         ///< Entries of the zone, oldest first.
-	Millis lease_until = Millis(-MS_PER_DAY);                ///< End of the lease.
+	mutable std::shared_mutex lock;                          ///< Guards all members below.
+	EntryIdentity self;                                      ///< Identity of this entry.
+	GateSettings gate_settings;                              ///< Settings of the pool gates.
+	LeaseTimes times;                                        ///< Times that key ownership depends on.
+	std::map<BoxName, glade::wire::ViewEndpointT> endpoints; ///< Endpoints of the zone by box.
+	std::map<ServiceName, ServiceRow> rows;                  ///< Services by name.
+	std::map<MemberName, Peer> peers;                        ///< Entries of all zones by name.
+	std::map<PoolName, uint32_t> pool_slots;                 ///< Slots in the whole fleet by pool.
+	std::vector<std::string> zones;                          ///< Zones among which the keys are distributed.
+	std::map<PoolName, std::shared_ptr<PoolGate>> gates;     ///< Gates by pool.
+	uint64_t version = 0;                                    ///< Version of the view in force; 0 for none.
+	uint64_t hash = 0;                                       ///< Hash of the view in force.
+	LogOffset offset;                                        ///< Log offset up to which the view in force is current.
+	std::vector<Peer> gate_peers;                            ///< Entries of the zone at the last update of the gates.
+	Millis gained_usable_from;                ///< Time from which slots gained by the last change may be used.
+	uint64_t zone_changes = 0;                ///< Number of membership changes of the zone.
+	std::deque<ZoneEntries> history;          ///< Recent memberships of the zone, oldest first.
+	Millis lease_until = Millis(-MS_PER_DAY); ///< End of the lease.
 
 	void ApplyParts(const glade::wire::ViewT &view);
 	void RecordMembership(const glade::wire::ViewT &view);
@@ -144,9 +148,9 @@
 };
 
 /**
- * Hash of a view's content, whatever the order of its parts.
- * @param view A whole view.
- * @return 64 bits.
+ * Hashes the content of a view, independent of the order of its parts.
+ * @param view Complete view.
+ * @return 64-bit hash.
  */
 uint64_t HashView(const glade::wire::ViewT &view);
 
