--- a/src/request/exchange.cpp
+++ b/src/request/exchange.cpp
@@ -199,7 +199,7 @@
 void Exchange::AskForSlot()
 {
 	this->state = ExchangeState::ES_WAITING;
-	const uint64_t round = ++this->slot_attempt;
+	const uint64_t attempt = ++this->slot_attempt;
 	SlotRequest want;
 	want.service = this->facts.service;
 	want.work_class = this->facts.work_class;
@@ -207,10 +207,10 @@
 	want.avoid = this->tried;
 	want.only_spare = this->request.from_peer && !this->facts.key;
 	want.done = [still = this->weak_from_this(), scheduler = &this->scheduler, gate = this->route.gate,
-				 service = this->facts.service, round](const GateDecision &answer) {
-		scheduler->Post([still, gate, service, round, answer, scheduler] {
+				 service = this->facts.service, attempt](const GateDecision &answer) {
+		scheduler->Post([still, gate, service, attempt, answer, scheduler] {
 			if (const auto it = still.lock(); it) {
-				it->OnGateDecision(round, answer);
+				it->OnGateDecision(attempt, answer);
 			} else if (answer.code == ResultCode::RC_OK) {
 				gate->Release(answer.grant.box, service, CallOutcome::CO_CANCELLED, Millis(0), scheduler->Now());
 			}
@@ -219,13 +219,13 @@
 	const std::optional<GateDecision> answer =
 			this->route.gate->RequestSlot(std::move(want), this->scheduler.Now(), this->slot_request);
 	if (answer) {
-		this->OnGateDecision(round, *answer);
+		this->OnGateDecision(attempt, *answer);
 	}
 }
 
-void Exchange::OnGateDecision(uint64_t round, const GateDecision &answer)
+void Exchange::OnGateDecision(uint64_t attempt, const GateDecision &answer)
 {
-	if (round != this->slot_attempt || this->state != ExchangeState::ES_WAITING) {
+	if (attempt != this->slot_attempt || this->state != ExchangeState::ES_WAITING) {
 		if (answer.code == ResultCode::RC_OK) {
 			this->route.gate->Release(answer.grant.box, this->facts.service, CallOutcome::CO_CANCELLED, Millis(0),
 									  this->scheduler.Now());
--- a/src/request/exchange.h
+++ b/src/request/exchange.h
@@ -50,7 +50,7 @@
 
 private:
 	/** Properties of the request, derived from its headers and its service. */
-	struct Facts {
+	struct RequestProperties {
 		AccountName account;                         ///< Client account of the caller.
 		ServiceName service;                         ///< Service requested.
 		WorkClass work_class = WorkClass::WC_NORMAL; ///< Work class of the service.
@@ -64,7 +64,7 @@
 	EndpointDialer &dialer;                           ///< Starts calls to endpoints and peers.
 	CallerSink *sink;                                 ///< Receives the response; null once it must not be used.
 	CallerRequest request;                            ///< Request as received.
-	Facts facts;                                      ///< Properties of the request.
+	RequestProperties facts;                          ///< Properties of the request.
 	ExchangeState state = ExchangeState::ES_RECEIVED; ///< State of the request.
 	Route route;                                      ///< Configuration of the service and gate of its pool.
 	SlotRequestId slot_request;                       ///< Queued slot request.
@@ -89,7 +89,7 @@
 	Result ReadKey();
 	bool ClaimKey();
 	void AskForSlot();
-	void OnGateDecision(uint64_t round, const GateDecision &answer);
+	void OnGateDecision(uint64_t attempt, const GateDecision &answer);
 	void OnGranted(const Grant &slot);
 	void ForwardTo(const std::string &address);
 	bool TryOtherZone();
@@ -99,7 +99,7 @@
 	void NotRun(ResultCode code, Millis retry_after);
 	void Refuse(ResultCode code, const char *run, Millis retry_after = Millis(0));
 	void Replay(const StoredResponse &response);
-	[[nodiscard]] bool MayRetry() const;
+	[[nodiscard]] bool MayRetry() const; ///< Takes a retry from the budget when it returns true.
 	void Retry(CallOutcome outcome);
 	void Detach();
 	void DropCall();
--- a/src/request/key_memory.cpp
+++ b/src/request/key_memory.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr size_t UUID_LENGTH = 36;     ///< Characters of a UUID in text form.
-constexpr size_t UUID_VERSION_AT = 14; ///< Index of the version digit.
-constexpr size_t MILLIS_DIGITS = 13;   ///< Digits of the milliseconds since 1970, in the years 2001 to 2286.
+constexpr size_t UUID_LENGTH = 36;        ///< Characters of a UUID in text form.
+constexpr size_t UUID_VERSION_INDEX = 14; ///< Index of the version digit.
+constexpr size_t MILLIS_DIGITS = 13;      ///< Digits of the milliseconds since 1970, in the years 2001 to 2286.
 
 /**
  * Parses a time.
@@ -32,7 +32,7 @@
 
 std::optional<Millis> KeyIssueTime(std::string_view key)
 {
-	if (key.size() == UUID_LENGTH && key[8] == '-' && key[UUID_VERSION_AT] == '7') {
+	if (key.size() == UUID_LENGTH && key[8] == '-' && key[UUID_VERSION_INDEX] == '7') {
 		return ParseMillis(std::string(key.substr(0, 8)) + std::string(key.substr(9, 4)), 16);
 	}
 	if (key.size() > MILLIS_DIGITS + 1 && key[MILLIS_DIGITS] == '-') {
--- a/src/request/pool_gate.cpp
+++ b/src/request/pool_gate.cpp
@@ -94,8 +94,8 @@
 bool PoolGate::Usable(const EndpointState &it, Millis now) const
 {
 	/* After an ejection, one request at a time probes whether the endpoint has recovered. */
-	const bool on_probation = this->settings.eject && it.failures >= this->settings.eject_after;
-	const uint32_t limit = on_probation ? std::min(LimitOf(it), 1U) : LimitOf(it);
+	const bool probing = this->settings.eject && it.failures >= this->settings.eject_after;
+	const uint32_t limit = probing ? std::min(LimitOf(it), 1U) : LimitOf(it);
 	return it.view.open && it.in_flight < limit && it.ejected_until <= now && it.refused_until <= now;
 }
 
@@ -174,7 +174,7 @@
 	return service.typical_us == 0 ? this->settings.initial_latency : Millis(service.typical_us / US_PER_MS);
 }
 
-Millis PoolGate::WaitFor(const ServiceState &service, WorkClass work_class, Millis deadline, Millis now) const
+Millis PoolGate::EstimatedWait(const ServiceState &service, WorkClass work_class, Millis deadline, Millis now) const
 {
 	uint64_t ahead = 0;
 	for (const auto &[name, other] : this->services) {
@@ -266,7 +266,7 @@
 		this->counters.no_endpoint++;
 	}
 	if (service != nullptr) {
-		const Millis wait = this->WaitFor(*service, WorkClass::WC_BATCH, now + Millis(MS_PER_DAY), now);
+		const Millis wait = this->EstimatedWait(*service, WorkClass::WC_BATCH, now + Millis(MS_PER_DAY), now);
 		decision.retry_after = std::max(decision.retry_after, wait);
 	}
 	return decision;
@@ -293,7 +293,7 @@
 	if (service.waiting_count >= this->settings.queue_limit) {
 		return this->Refuse(ResultCode::RC_QUEUE_FULL, &service, now);
 	}
-	const Millis wait = this->WaitFor(service, request.work_class, request.deadline, now);
+	const Millis wait = this->EstimatedWait(service, request.work_class, request.deadline, now);
 	if (this->settings.admit_by_deadline && now + wait + this->TypicalLatency(service) > request.deadline) {
 		return this->Refuse(ResultCode::RC_CANNOT_BE_ON_TIME, &service, now);
 	}
--- a/src/request/pool_gate.h
+++ b/src/request/pool_gate.h
@@ -291,7 +291,8 @@
 	ServiceState *NextService(uint32_t free);
 	GateDecision GrantSlot(ServiceState &service, EndpointState &endpoint, Millis now);
 	[[nodiscard]] Millis TypicalLatency(const ServiceState &service) const;
-	[[nodiscard]] Millis WaitFor(const ServiceState &service, WorkClass work_class, Millis deadline, Millis now) const;
+	[[nodiscard]] Millis EstimatedWait(const ServiceState &service, WorkClass work_class, Millis deadline,
+									   Millis now) const;
 	void RefuseLate(ServiceState &service, Millis now, Decisions &decisions);
 	void GrantWaiting(Millis now, Decisions &decisions);
 	void UpdateHealth(EndpointState &it, CallOutcome outcome, Millis now);
--- a/src/request/request_path.h
+++ b/src/request/request_path.h
@@ -6,7 +6,7 @@
 #include "retry_budget.h"
 #include "route_table.h"
 
-#include <sstream> // Used by Boost.Accumulators' quantiles, which do not include it.
+#include <sstream> // Boost.Accumulators' quantiles use it without including it.
 
 #include <boost/accumulators/accumulators.hpp>
 #include <boost/accumulators/statistics/count.hpp>
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -14,7 +14,8 @@
 	 * @param capacity Most retries that can be saved up; the bucket starts full.
 	 */
 	explicit RetryBudget(uint32_t percent = 10, uint32_t capacity = 20)
-			: percent(percent), capacity(int64_t{capacity} * SCALE), tokens(int64_t{capacity} * SCALE)
+			: percent(percent), capacity(int64_t{capacity} * TOKENS_PER_RETRY),
+			  tokens(int64_t{capacity} * TOKENS_PER_RETRY)
 	{
 	}
 
@@ -31,7 +32,7 @@
 	 * Adds one retry to the bucket without a success and beyond its capacity: for benchmark baselines without a budget.
 	 * @return Retries in the bucket.
 	 */
-	int64_t AddRetry() { return (this->tokens.fetch_add(SCALE) + SCALE) / SCALE; }
+	int64_t AddRetry() { return (this->tokens.fetch_add(TOKENS_PER_RETRY) + TOKENS_PER_RETRY) / TOKENS_PER_RETRY; }
 
 	/**
 	 * Takes one retry from the bucket.
@@ -39,15 +40,15 @@
 	 */
 	bool TrySpend()
 	{
-		if (this->tokens.fetch_sub(SCALE) >= SCALE) {
+		if (this->tokens.fetch_sub(TOKENS_PER_RETRY) >= TOKENS_PER_RETRY) {
 			return true;
 		}
-		this->tokens.fetch_add(SCALE);
+		this->tokens.fetch_add(TOKENS_PER_RETRY);
 		return false;
 	}
 
 private:
-	static constexpr int64_t SCALE = 100; ///< Tokens per retry.
+	static constexpr int64_t TOKENS_PER_RETRY = 100; ///< Tokens per retry.
 
 	int64_t percent;             ///< Tokens added per success.
 	int64_t capacity;            ///< Capacity in tokens.
--- a/src/request/slot_broker.cpp
+++ b/src/request/slot_broker.cpp
@@ -231,8 +231,8 @@
 		return 0;
 	}
 	Loan &loan = this->loans[peer.name];
-	const bool owes = std::ranges::any_of(loan.slots, [](const auto &it) { return TotalOf(it.second) > 0; });
-	if (owes && loan.incarnation != peer.incarnation) {
+	const bool has_loan = std::ranges::any_of(loan.slots, [](const auto &it) { return TotalOf(it.second) > 0; });
+	if (has_loan && loan.incarnation != peer.incarnation) {
 		return 0; /* The borrower's previous incarnation still holds slots. */
 	}
 	loan.incarnation = peer.incarnation;
