--- a/src/request/route_table.cpp
+++ b/src/request/route_table.cpp
@@ -1,4 +1,4 @@
-/** @file route_table.cpp What an entry knows of the fleet. */
+/** @file route_table.cpp Routing state of an entry. */
 #include "route_table.h"
 
 #include <algorithm>
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr size_t HISTORY_LENGTH = 32; ///< Membership changes that are remembered.
-constexpr uint64_t MILLION = 1000000; ///< Scale of shares.
+constexpr size_t HISTORY_LENGTH = 32; ///< Most membership changes kept.
+constexpr uint64_t MILLION = 1000000; ///< Scale of slot shares.
 
-/** Joins fields for hashing. */
+/** Joins fields to a text for hashing, each followed by a line break. */
 template <class... Parts>
-std::string Fields(const Parts &...parts)
+std::string JoinFields(const Parts &...parts)
 {
 	std::string text;
 	const auto add = [&](const auto &part) {
@@ -28,26 +28,27 @@
 
 uint64_t HashOf(const glade::wire::ViewEndpointT &it)
 {
-	return HashText(Fields("e", it.box, it.pool, it.zone, it.rack, it.address, it.slots, it.epoch, it.open, it.permit));
+	return HashText(
+			JoinFields("e", it.box, it.pool, it.zone, it.rack, it.address, it.slots, it.epoch, it.open, it.permit));
 }
 
 uint64_t HashOf(const ServiceRow &it)
 {
-	return HashText(Fields("r", it.service.Value(), it.pool.Value(), it.weight, it.floor.Value(), it.ceiling.Value(),
-						   static_cast<int>(it.work_class), it.repeatable));
+	return HashText(JoinFields("r", it.service.Value(), it.pool.Value(), it.weight, it.floor.Value(),
+							   it.ceiling.Value(), static_cast<int>(it.work_class), it.repeatable));
 }
 
 uint64_t HashOf(const Peer &it)
 {
-	return HashText(Fields("p", it.name.Value(), it.zone.Value(), it.address, it.frames, it.incarnation.Value()));
+	return HashText(JoinFields("p", it.name.Value(), it.zone.Value(), it.address, it.frames, it.incarnation.Value()));
 }
 
 uint64_t HashOf(const PoolName &pool, uint32_t slots)
 {
-	return HashText(Fields("s", pool.Value(), slots));
+	return HashText(JoinFields("s", pool.Value(), slots));
 }
 
-ServiceRow RowOf(const glade::wire::ViewRowT &it)
+ServiceRow ParseRow(const glade::wire::ViewRowT &it)
 {
 	ServiceRow row;
 	row.service = ServiceName(it.service);
@@ -60,7 +61,7 @@
 	return row;
 }
 
-Peer PeerOf(const glade::wire::ViewPeerT &it)
+Peer ParsePeer(const glade::wire::ViewPeerT &it)
 {
 	return Peer{MemberName(it.member), ZoneName(it.zone), it.address, it.frames, Incarnation(it.incarnation)};
 }
@@ -74,10 +75,10 @@
 		sum += HashOf(*it);
 	}
 	for (const auto &it : view.rows) {
-		sum += HashOf(RowOf(*it));
+		sum += HashOf(ParseRow(*it));
 	}
 	for (const auto &it : view.peers) {
-		sum += HashOf(PeerOf(*it));
+		sum += HashOf(ParsePeer(*it));
 	}
 	for (const auto &it : view.pools) {
 		sum += HashOf(PoolName(it->pool), it->slots);
@@ -126,12 +127,12 @@
 		this->endpoints[BoxName(it->box)] = *it;
 	}
 	for (const auto &it : view.rows) {
-		this->rows[ServiceName(it->service)] = RowOf(*it);
+		this->rows[ServiceName(it->service)] = ParseRow(*it);
 	}
 	for (const auto &it : view.peers) {
-		this->peers[MemberName(it->member)] = PeerOf(*it);
+		this->peers[MemberName(it->member)] = ParsePeer(*it);
 	}
-	/* Pools are few: a view that changes any of them carries all. */
+	/* A view that changes any pool has all of them, since there are few. */
 	if (!view.pools.empty()) {
 		this->pool_slots.clear();
 	}
@@ -140,12 +141,12 @@
 	}
 }
 
-void RouteTable::NoteMembership(const glade::wire::ViewT &view)
+void RouteTable::RecordMembership(const glade::wire::ViewT &view)
 {
 	if (view.zone_changes == this->zone_changes && !this->history.empty()) {
 		return;
 	}
-	/* With a change missed, somebody unknown may have owned any key until now. */
+	/* After a missed change, an unknown entry may have owned any key until now, so the history is void. */
 	if (view.zone_changes != this->zone_changes + 1) {
 		this->history.clear();
 	}
@@ -160,8 +161,8 @@
 {
 	const std::vector<Peer> zone = this->EntriesOf(this->self.zone);
 	if (zone != this->gate_peers) {
-		/* Others with the old view may use these slots for as long as their lease lasts. */
-		this->gained_from = zone.size() > 1 || !this->gate_peers.empty() ? now + this->times.settle : now;
+		/* Entries with the old view may use these slots until their lease has ended. */
+		this->gained_usable_from = zone.size() > 1 || !this->gate_peers.empty() ? now + this->times.settle : now;
 		this->gate_peers = zone;
 	}
 	std::map<PoolName, std::vector<GateEndpoint>> by_pool;
@@ -186,7 +187,8 @@
 			gate = std::make_shared<PoolGate>(this->gate_settings, HashText(this->self.name.Value() + pool.Value()));
 		}
 		const uint64_t all = std::max<uint64_t>(this->pool_slots[pool], 1);
-		gate->Update(list, rows_of[pool], std::min(own_slots[pool] * MILLION / all, MILLION), this->gained_from, now);
+		gate->Update(list, rows_of[pool], std::min(own_slots[pool] * MILLION / all, MILLION), this->gained_usable_from,
+					 now);
 	}
 }
 
@@ -197,7 +199,7 @@
 		return ResultCode::RC_STATE_MISMATCH;
 	}
 	if (LogOffset(view.offset) < this->offset) {
-		return ResultCode::RC_OK; /* A keeper that lags behind what this entry has: configuration never reverts. */
+		return ResultCode::RC_OK; /* Sent by a keeper that lags behind this entry; the configuration never goes back. */
 	}
 	this->ApplyParts(view);
 	uint64_t sum = 0;
@@ -220,7 +222,7 @@
 	}
 	this->version = view.version;
 	this->offset = LogOffset(view.offset);
-	this->NoteMembership(view);
+	this->RecordMembership(view);
 	this->UpdateGates(now);
 	return ResultCode::RC_OK;
 }
@@ -258,8 +260,8 @@
 	if (now >= this->lease_until) {
 		return ResultCode::RC_KEY_LEASE_LAPSED;
 	}
-	/* Every list of entries that may have been believed since the key was made must name this entry as owner. An old
-	 * list is believed for `settle` after the change that ended it. */
+	/* This entry must be the owner by every membership that any entry may have had in force since the key was issued.
+	 * An old membership may be in force for `settle` after the change that replaced it. */
 	for (auto it = this->history.rbegin(); it != this->history.rend(); ++it) {
 		if (it->peers.empty()) {
 			return ResultCode::RC_KEY_BEFORE_TAKEOVER;
