--- a/src/jobs/job_codec.h
+++ b/src/jobs/job_codec.h
@@ -1,65 +1,66 @@
-/** @file job_codec.h Records that a shard keeps in the keyed log, as bytes: FlatBuffers with a format number. */
+/** @file job_codec.h Encodes the records that a shard keeps in the keyed log: FlatBuffers with a format number. */
 #ifndef JOB_CODEC_H
 #define JOB_CODEC_H
 
 #include "job_type.h"
 
-/** What is stored of a task. */
+/** Stored state of a task. */
 struct StoredTask {
-	TaskPhase phase = TaskPhase::TP_WAITING; ///< Where it stands.
-	RunNumber run;                           ///< Last start; also of one that has ended.
-	uint32_t failures = 0;                   ///< Runs that failed.
+	TaskPhase phase = TaskPhase::TP_WAITING; ///< Phase of the task.
+	RunNumber run;                           ///< Newest run; also one that has ended.
+	uint32_t failures = 0;                   ///< Number of failed runs.
 	BoxIncarnation box;                      ///< Where it may run, while placed.
 	std::string saved;                       ///< Checkpoint to resume from.
-	/** The current run is to be stopped for planned work. Recorded before that stop leaves: a box lists a run at full
-	 * pace until it has ended, so the next owner would take the task for one that works. */
+	/** The current run is to be stopped for planned maintenance. Recorded before the stop order is sent: a box lists a
+	 * run at full pace until it has ended, so the next owner would otherwise count the task as working. */
 	bool leaving = false;
-	/** Boxes that have crashed for certain soon after they began the task. Recorded before its next start leaves, so
-	 * that no owner forgets one: see Shard::NoteCrash(). */
+	/** Number of boxes that have certainly crashed soon after they started the task. Recorded before its next start
+	 * order is sent, so that the count survives a change of owner: see Shard::NoteCrash(). */
 	uint32_t crashes = 0;
-	uint32_t crashes_possible = 0; ///< Runs lost with a box that may have crashed under them.
+	uint32_t crashes_possible = 0; ///< Runs lost with a box that may have crashed.
 
 	bool operator==(const StoredTask &) const = default;
 };
 
-/** What is stored of a job's progress. */
+/** Stored progress of a job. */
 struct StoredProgress {
-	JobPhase phase = JobPhase::JP_QUEUED; ///< Where it stands.
-	RouteName route;                      ///< Its route.
+	JobPhase phase = JobPhase::JP_QUEUED; ///< Phase of the job.
+	RouteName route;                      ///< Route of the job.
 	Millis changed;                       ///< Wall time of the record.
-	uint64_t revision = 0;                ///< Rises with each record of the job: of two, the higher one is newer.
+	uint64_t revision = 0;                ///< Rises with each record of the job: the record with the highest is newest.
 	std::vector<StoredTask> tasks;        ///< By occurrence, step, index.
 
 	bool operator==(const StoredProgress &) const = default;
 };
 
-/** What a caller's record in the inbox is about, as its key tells. Two accounts that use one id have two keys: the
- * newest record of a key is all that the log keeps. */
+/** Decoded key of a caller's record in the inbox. The account is part of the key, since the log keeps only the newest
+ * record of each key: two accounts may use the same id. */
 struct InboxKey {
-	JobId job;                    ///< The job.
-	AccountName account;          ///< The caller's account; empty on a route without keys.
-	bool is_cancellation = false; ///< Whether it cancels the job, rather than hands it in.
+	JobId job;                    ///< Id of the job.
+	AccountName account;          ///< Account of the caller; empty on a route without keys.
+	bool is_cancellation = false; ///< Whether the record cancels the job rather than submits it.
 
 	auto operator<=>(const InboxKey &) const = default;
 };
 
-/** @return Key of a caller's record. @param name What it is about. */
+/** @return Encoded key of a caller's record. @param name The decoded key. */
 std::string KeyOf(const InboxKey &name);
-/** @return What a caller's record is about. @param key Its key, not empty. */
+/** @return Decoded key of a caller's record. @param key The encoded key, not empty. */
 InboxKey ParseInboxKey(std::string_view key);
 
-/** @return Bytes of a submission, without the job's id: that is the record's key. */
+/** @return Encoded submission, without the id of the job, which is in the record's key. */
 std::string EncodeSubmission(const JobSpec &spec);
-/** @return Bytes of a job's progress. */
+/** @return Encoded progress of a job. */
 std::string EncodeProgress(const StoredProgress &progress);
 /**
- * Reads a submission.
- * @param id Its job.
- * @param bytes The record.
- * @return The job, or nothing when the bytes are no such record or of a later format.
+ * Decodes a submission.
+ * @param id Id of the job.
+ * @param bytes Value of the record.
+ * @return The job, or nothing when the bytes are no valid submission or of a later format.
  */
 std::optional<JobSpec> DecodeSubmission(const JobId &id, std::string_view bytes);
-/** @return Progress, or nothing when the bytes are no such record or of a later format. @param bytes The record. */
+/** @return The progress, or nothing when the bytes are no valid progress record or of a later format. @param bytes
+ * Value of the record. */
 std::optional<StoredProgress> DecodeProgress(std::string_view bytes);
 
 #endif /* JOB_CODEC_H */
--- a/src/jobs/job_id.h
+++ b/src/jobs/job_id.h
@@ -1,4 +1,4 @@
-/** @file job_id.h Id of a job, held without memory of its own. */
+/** @file job_id.h Id of a job, stored inline. */
 #ifndef JOB_ID_H
 #define JOB_ID_H
 
@@ -9,15 +9,15 @@
 #include <string_view>
 
 /**
- * Id of a job as its caller wrote it, up to 16 characters; what is longer names no job and reads as empty. An owner
- * compares and copies ids for each run of each box, which as text takes memory and time each time.
+ * Id of a job as given by its caller, up to 16 characters; a longer text is no valid id and becomes the empty id.
+ * Stored as two integers, since an owner copies and compares ids for each run of each box.
  */
 class JobId {
 public:
-	static constexpr size_t LENGTH_MAX = 16; ///< Characters of an id.
+	static constexpr size_t LENGTH_MAX = 16; ///< Maximum number of characters.
 
 	constexpr JobId() = default;
-	/** @param text The id. */
+	/** @param text The id as text. */
 	constexpr explicit JobId(std::string_view text)
 	{
 		if (text.size() <= LENGTH_MAX) {
@@ -35,21 +35,21 @@
 		return text;
 	}
 
-	/** @return Whether it names no job. */
+	/** @return Whether this is the empty id, which names no job. */
 	[[nodiscard]] constexpr bool Empty() const { return this->head == 0; }
 	/** @return Hash of the id. */
 	[[nodiscard]] size_t Hash() const;
 
-	/** Orders ids as their texts are ordered. */
+	/** Same order as that of the texts. */
 	constexpr auto operator<=>(const JobId &) const = default;
 
 private:
-	static constexpr size_t HALF = 8;          ///< Characters in each half.
-	static constexpr unsigned BYTE_BITS = 8;   ///< Bits of a character.
-	static constexpr uint64_t BYTE_MASK = 255; ///< A character.
+	static constexpr size_t HALF = 8;          ///< Characters in each integer.
+	static constexpr unsigned BYTE_BITS = 8;   ///< Bits per character.
+	static constexpr uint64_t BYTE_MASK = 255; ///< Mask of one character.
 
-	uint64_t head = 0; ///< The first eight characters, the first one highest.
-	uint64_t tail = 0; ///< The rest.
+	uint64_t head = 0; ///< First eight characters, the first one in the highest byte.
+	uint64_t tail = 0; ///< Remaining characters.
 
 	static constexpr uint64_t Packed(std::string_view text)
 	{
@@ -70,7 +70,7 @@
 	}
 };
 
-/** Hash of ids, for unordered maps. */
+/** Hash function of ids, for unordered maps. */
 struct JobIdHash {
 	size_t operator()(const JobId &id) const { return id.Hash(); }
 };
--- a/src/jobs/job_type.h
+++ b/src/jobs/job_type.h
@@ -1,4 +1,4 @@
-/** @file job_type.h Jobs as graphs of tasks, the boxes that run them, and the orders between the two. */
+/** @file job_type.h Jobs as graphs of tasks, the boxes that run them, and the orders sent to boxes. */
 #ifndef JOB_TYPE_H
 #define JOB_TYPE_H
 
@@ -12,150 +12,151 @@
 #include <string>
 #include <vector>
 
-using RouteName = Strong<struct RouteNameTag, std::string>; ///< A route: a queue of jobs for one service.
-using BoxId = Strong<struct BoxIdTag, std::string>;         ///< Id of a box's agent; it may keep it over restarts.
-using RunNumber = Strong<struct RunNumberTag, uint32_t>;    ///< Counts the starts of a task, from 1; 0 is "none".
+using RouteName = Strong<struct RouteNameTag, std::string>; ///< Name of a route: a queue of jobs for one service.
+using BoxId = Strong<struct BoxIdTag, std::string>;         ///< Id of a box's agent; may stay the same over restarts.
+using RunNumber = Strong<struct RunNumberTag, uint32_t>;    ///< Counts the starts of a task, from 1; 0 means none.
 using FenceToken = Strong<struct FenceTokenTag, uint64_t>;  ///< A box obeys only the highest token it has seen.
 
 /**
- * One start of a box's agent. It holds and knows nothing of an earlier one, also under the same id: its clock and its
- * numbers of ends begin anew, and it has seen no token, run or stop.
+ * One start of a box's agent. It has no state of an earlier one, also under the same id: its clock and the numbers of
+ * ended runs start anew, and it has seen no token, run or stop order.
  */
 struct BoxIncarnation {
-	BoxId id;       ///< Its id.
-	Millis started; ///< Wall time of the start; 0 when it isn't told.
+	BoxId id;       ///< Id of the agent.
+	Millis started; ///< Wall time of the start; 0 when unknown.
 
 	auto operator<=>(const BoxIncarnation &) const = default;
 };
 
-/** @return A life, as logs show it: the id, and when it began if that is known. @param life The life. */
+/** @return The id and, if known, the start time, as shown in logs. @param incarnation The incarnation. */
 std::string IncarnationText(const BoxIncarnation &incarnation);
 
-/** A step of a job: tasks that are alike. */
+/** A step of a job: a number of like tasks. */
 struct StepSpec {
-	uint32_t count = 1;                 ///< Tasks.
-	Resources demand;                   ///< What each takes.
-	Millis estimate;                    ///< Guess of the run time of each.
-	std::vector<uint32_t> after;        ///< Steps of the same job that must have ended before.
+	uint32_t count = 1;                 ///< Number of tasks.
+	Resources demand;                   ///< Resources per task.
+	Millis estimate;                    ///< Run time of a task, as estimated by the caller.
+	std::vector<uint32_t> after;        ///< Steps of the same job that must be done before this one starts.
 	bool gang = false;                  ///< All tasks start and end together.
-	bool one_rack = false;              ///< Runs much slower when spread over racks.
-	std::string required_label;         ///< Label that the box must have; empty for any.
-	std::string data_rack;              ///< Rack near the data; elsewhere the step is slower. Empty for any.
-	uint32_t per_box = 0;               ///< Tasks that one box may run at most; 0 for any number.
-	bool checkpoints = false;           ///< Saves progress, and resumes from it.
-	bool copies = false;                ///< A second copy of a slow task may run beside the first.
-	bool lasting = false;               ///< Runs until the job is cancelled; restarted however it ends.
-	std::string image;                  ///< Program; tasks of one image behave alike.
-	Millis latency_limit;               ///< Limit on the tail latency of a task that serves users; 0 for none.
-	bool filler = false;                ///< Takes only the processor time that others leave.
-	std::optional<uint32_t> absent_max; ///< Tasks that planned work may keep away at once; none for no limit.
+	bool one_rack = false;              ///< Runs much slower when spread over several racks.
+	std::string required_label;         ///< Label that the box must have; empty for any box.
+	std::string data_rack;              ///< Rack near the data; the step is slower elsewhere. Empty for any rack.
+	uint32_t per_box = 0;               ///< Maximum number of tasks on one box; 0 for no limit.
+	bool checkpoints = false;           ///< Saves checkpoints and resumes from them.
+	bool copies = false;                ///< A second copy of a slow task may run in parallel.
+	bool lasting = false;               ///< Runs until the job is cancelled; restarted however a run ends.
+	std::string image;                  ///< Program image; tasks with the same image behave alike.
+	Millis latency_limit;               ///< Limit of the tail latency of a task that serves users; 0 for none.
+	bool filler = false;                ///< Uses only processor time that other tasks leave idle.
+	std::optional<uint32_t> absent_max; ///< Tasks that planned maintenance may keep from running at once; no limit if
+										///< unset.
 
 	bool operator==(const StepSpec &) const = default;
 };
 
-/** A job, as its caller handed it in. */
+/** A job, as submitted by its caller. */
 struct JobSpec {
-	JobId id;                    ///< Its name.
-	RouteName route;             ///< Queue that took it.
-	AccountName account;         ///< Client account that handed it in; empty for nobody's.
-	std::string payload;         ///< Passed to the boxes unread.
-	std::vector<StepSpec> steps; ///< Its steps.
-	Millis first_due;            ///< Wall time of the first occurrence, for repeated jobs.
-	Millis interval;             ///< Between two occurrences.
-	uint32_t repeats = 0;        ///< Occurrences; 0 for one at once.
-	Millis requested_at;         ///< Wall time at which its caller first asked, as far as that is known.
-
-	/** @return Number of occurrences. */
+	JobId id;                    ///< Id of the job.
+	RouteName route;             ///< Route it was submitted on.
+	AccountName account;         ///< Client account that submitted it; empty for none.
+	std::string payload;         ///< Opaque data, passed on to the boxes.
+	std::vector<StepSpec> steps; ///< Steps of the job.
+	Millis first_due;            ///< Wall time of the first occurrence of a repeated job.
+	Millis interval;             ///< Time between two occurrences.
+	uint32_t repeats = 0;        ///< Number of occurrences; 0 for a single one that is due at once.
+	Millis requested_at;         ///< Wall time of the caller's first request, as far as known.
+
+	/** @return Number of occurrences, at least 1. */
 	[[nodiscard]] uint32_t Occurrences() const { return this->repeats == 0 ? 1 : this->repeats; }
 	bool operator==(const JobSpec &) const = default;
 };
 
-/** @return Whether each step of a job could run within what its account may have at once. @param spec The job. @param
- * maximum That; 0 of a kind for no limit. */
+/** @return Whether each step of a job fits the maximum of its account when it runs alone. @param spec The job. @param
+ * maximum Maximum of the account; 0 of a kind of resource for no limit. */
 bool FitsMaximum(const JobSpec &spec, const Resources &maximum);
 
-/** Where a job stands; the numbers are stored. */
+/** Phase of a job; the numbers are stored. */
 enum class JobPhase : uint8_t {
 	JP_QUEUED = 0,    ///< No task was started yet.
-	JP_RUNNING = 1,   ///< Tasks were started.
-	JP_COMPLETED = 2, ///< All tasks have ended well.
+	JP_RUNNING = 1,   ///< At least one task was started.
+	JP_COMPLETED = 2, ///< All tasks have ended successfully.
 	JP_FAILED = 3,    ///< A task failed too often.
-	JP_CANCELLED = 4, ///< Its caller has cancelled it.
+	JP_CANCELLED = 4, ///< Cancelled by its caller.
 };
 
-/** Where a task stands; the numbers are stored. */
+/** Phase of a task; the numbers are stored. */
 enum class TaskPhase : uint8_t {
 	TP_WAITING = 0, ///< To be started.
 	TP_PLACED = 1,  ///< A box was chosen and may run it.
-	TP_DONE = 2,    ///< Ended well.
+	TP_DONE = 2,    ///< Ended successfully.
 };
 
-/** A task of a job. */
+/** Identifies a task of a job. */
 struct TaskId {
-	JobId job;               ///< The job.
-	uint32_t occurrence = 0; ///< Which time.
-	uint32_t step = 0;       ///< Which step.
-	uint32_t index = 0;      ///< Which task of the step.
+	JobId job;               ///< Id of the job.
+	uint32_t occurrence = 0; ///< Index of the occurrence.
+	uint32_t step = 0;       ///< Index of the step.
+	uint32_t index = 0;      ///< Index of the task within the step.
 
 	auto operator<=>(const TaskId &) const = default;
 };
 
-/** What a route asks of its jobs. */
+/** Configuration of a route. */
 struct JobRoute {
-	RouteName name;            ///< Its name.
-	std::string host;          ///< Host that callers name.
-	std::string path_prefix;   ///< Path under which its jobs lie.
+	RouteName name;            ///< Name of the route.
+	std::string host;          ///< Host name in callers' requests.
+	std::string path_prefix;   ///< Path prefix of its jobs.
 	ServiceName service;       ///< Service whose boxes run the jobs.
-	int64_t priority = 0;      ///< 0 comes first.
-	uint32_t failures_max = 1; ///< Runs of a task that may fail; the job fails with the last.
-	double stretch = 1.0;      ///< Objective: this times the longest chain of work, plus `headroom`.
-	Millis headroom;           ///< Time on top of the stretched chain.
-	bool needs_ticket = false; ///< Only boxes that a policy allows may run its steps: each start needs a ticket.
-	bool keyless = false;      ///< Callers need no key; what it runs belongs to no account.
+	int64_t priority = 0;      ///< Lower numbers are served first.
+	uint32_t failures_max = 1; ///< Number of failed runs of a task that fails the job.
+	double stretch = 1.0;      ///< The objective is `stretch` times the longest chain of steps, plus `headroom`.
+	Millis headroom;           ///< Added to the stretched chain.
+	bool needs_ticket = false; ///< Starts need a ticket of the placement policy, which allows only some boxes.
+	bool keyless = false;      ///< Callers need no key; its jobs belong to no account.
 };
 
-/** A service, as the configuration has it. */
+/** Configuration of a service. */
 struct JobService {
-	ServiceName name;              ///< Its name.
-	bool enforces_capacity = true; ///< Its boxes refuse what doesn't fit.
+	ServiceName name;              ///< Name of the service.
+	bool enforces_capacity = true; ///< Its boxes refuse tasks that don't fit.
 	bool reserve = false;          ///< Pool of boxes that are switched off.
 };
 
 /** The configuration in force. */
 struct JobConfig {
 	uint64_t version = 0;             ///< Rises with each change.
-	std::vector<JobRoute> routes;     ///< Routes.
-	std::vector<JobService> services; ///< Services.
+	std::vector<JobRoute> routes;     ///< All routes.
+	std::vector<JobService> services; ///< All services.
 	/** Client accounts; null where callers need no key at all. Shared by the shards of a node. */
 	std::shared_ptr<const AccountList> accounts;
 
-	/** @return The route of a name, or null. */
+	/** @return The route with the given name, or null. */
 	[[nodiscard]] const JobRoute *FindRoute(const RouteName &name) const;
 	/**
-	 * Finds the route of a request: the longest prefix among those of its host.
-	 * @param host Host named by the caller, without port.
-	 * @param path Path asked for.
+	 * Finds the route of a request: the one with the longest matching prefix among those of the host.
+	 * @param host Host named in the request, without port.
+	 * @param path Path of the request.
 	 * @return The route, or null.
 	 */
 	[[nodiscard]] const JobRoute *Match(std::string_view host, std::string_view path) const;
-	/** @return The service of a name, or null. */
+	/** @return The service with the given name, or null. */
 	[[nodiscard]] const JobService *FindService(const ServiceName &name) const;
 };
 
-/** What a box's agent says of itself. */
+/** Status that a box's agent publishes. */
 struct BoxReport {
-	BoxIncarnation incarnation;      ///< Its current start.
-	BoxName box;                     ///< The box.
-	ServiceName service;             ///< Pool that it serves.
-	std::string address;             ///< IP:port of its agent.
-	ZoneName zone;                   ///< Its availability zone.
-	Resources capacity;              ///< What it has.
-	std::vector<std::string> labels; ///< Kind and rack.
-	RackName rack;                   ///< Its rack; one of the labels.
-	bool leaving = false;            ///< It will end soon: nothing new may start there.
-	Millis time_left;                ///< While leaving: time that it serves on at least.
-
-	/** @return Whether it carries a label. */
+	BoxIncarnation incarnation;      ///< Current incarnation of the agent.
+	BoxName box;                     ///< Name of the box.
+	ServiceName service;             ///< Service whose pool it belongs to.
+	std::string address;             ///< IP:port of the agent.
+	ZoneName zone;                   ///< Availability zone.
+	Resources capacity;              ///< Total resources.
+	std::vector<std::string> labels; ///< Labels, such as kind and rack.
+	RackName rack;                   ///< Rack; one of the labels.
+	bool leaving = false;            ///< Shuts down soon: nothing new may start there.
+	Millis time_left;                ///< While leaving: minimum time until it shuts down.
+
+	/** @return Whether the box has a label. */
 	[[nodiscard]] bool HasLabel(const std::string &label) const;
 };
 
@@ -163,101 +164,102 @@
 struct StartOrder {
 	TaskId task;           ///< The task.
 	bool numbered = false; ///< Whether the job has occurrences at set times.
-	RunNumber run;         ///< Counts its starts.
-	std::string payload;   ///< The job's payload.
+	RunNumber run;         ///< Number of the run.
+	std::string payload;   ///< Payload of the job.
 	std::string saved;     ///< Checkpoint to resume from; empty for none.
-	std::string ticket;    ///< Of the route's policy; empty for none.
+	std::string ticket;    ///< Ticket of the placement policy; empty for none.
 	Millis lease_until;    ///< End of the lease, by the box's clock.
-	FenceToken fence;      ///< The owner's token.
+	FenceToken fence;      ///< Token of the owner.
 };
 
-/** How an order ended. */
+/** Result of an order. */
 enum class OrderOutcome : uint8_t {
-	OO_DONE = 0,              ///< Carried out, also when it was before.
+	OO_DONE = 0,              ///< Carried out, now or earlier.
 	OO_FENCED = 1,            ///< The box has seen a higher token.
-	OO_RUN_TOO_OLD = 2,       ///< This or a later run was stopped or has ended there.
+	OO_RUN_TOO_OLD = 2,       ///< This run or a later one was stopped or has ended on the box.
 	OO_LEASE_PAST = 3,        ///< The lease would end in the past.
-	OO_NO_ROOM = 4,           ///< It doesn't fit.
-	OO_NO_TICKET = 5,         ///< The placement policy's ticket is missing or old.
-	OO_OTHER_INCARNATION = 6, ///< Another life of a box answers at this address.
-	OO_BUSY = 7,              ///< Refused by an unhealthy box: nothing was done.
+	OO_NO_ROOM = 4,           ///< The task doesn't fit.
+	OO_NO_TICKET = 5,         ///< The ticket of the placement policy is missing or has expired.
+	OO_OTHER_INCARNATION = 6, ///< Another incarnation of an agent answers at this address.
+	OO_BUSY = 7,              ///< Refused by an unhealthy box; not carried out.
 	OO_REJECTED = 8,          ///< The order is not valid.
-	OO_NOT_SENT = 9,          ///< No connection: certainly not carried out.
-	OO_UNKNOWN = 10,          ///< No answer: it may be carried out, also later.
+	OO_NOT_SENT = 9,          ///< No connection; certainly not carried out.
+	OO_UNKNOWN = 10,          ///< No answer; it may have been carried out or still be.
 };
 
 /** Answer to an order. */
 struct OrderAnswer {
-	OrderOutcome outcome = OrderOutcome::OO_UNKNOWN; ///< How it ended.
-	std::optional<Millis> box_clock;                 ///< The box's clock, when it told.
-	std::optional<BoxIncarnation> incarnation;       ///< The life that answered, when it told.
+	OrderOutcome outcome = OrderOutcome::OO_UNKNOWN; ///< Result of the order.
+	std::optional<Millis> box_clock;                 ///< Clock of the box, if reported.
+	std::optional<BoxIncarnation> incarnation;       ///< Incarnation that answered, if reported.
 };
 
 /** How a run ended. */
 enum class RunEnding : uint8_t {
-	RE_DONE = 0,    ///< Well.
-	RE_FAILED = 1,  ///< By its own fault or the box's; counts as a failure.
-	RE_STOPPED = 2, ///< By our order.
-	RE_LAPSED = 3,  ///< Its lease ran out.
+	RE_DONE = 0,    ///< Successfully.
+	RE_FAILED = 1,  ///< By a fault of its own or of the box; counts as a failure.
+	RE_STOPPED = 2, ///< By a stop order.
+	RE_LAPSED = 3,  ///< Its lease expired.
 	RE_BROKEN = 4,  ///< Another task of its gang ended.
-	RE_ALONE = 5,   ///< It waited for its gang in vain.
+	RE_ALONE = 5,   ///< The other tasks of its gang didn't start in time.
 };
 
 /** A run that a box lists as running. */
 struct RunningRow {
 	TaskId task;       ///< The task.
-	RunNumber run;     ///< Which start.
+	RunNumber run;     ///< Number of the run.
 	std::string saved; ///< Newest checkpoint.
-	int64_t share = 0; ///< Percent of its full pace.
-	int64_t load = 0;  ///< Tail latency in ms of a task that serves, else thousandths of a core in use.
+	int64_t share = 0; ///< Current pace in percent of full pace.
+	int64_t load = 0;  ///< Tail latency in ms of a task that serves users, otherwise thousandths of a core in use.
 };
 
 /** A run that a box lists as ended. */
 struct EndedRow {
-	uint64_t number = 0;                      ///< Rises with each end within one life of the box.
+	uint64_t number = 0;                      ///< Number of the end; rises within one incarnation of the box.
 	TaskId task;                              ///< The task.
-	RunNumber run;                            ///< Which start.
+	RunNumber run;                            ///< Number of the run.
 	RunEnding ending = RunEnding::RE_STOPPED; ///< How it ended.
 	std::string saved;                        ///< Checkpoint to resume from.
 };
 
-/** An order to prolong the lease of all that runs on a box and to list it. */
+/** An order to renew the lease of all runs on a box and to list them. */
 struct LeaseOrder {
-	FenceToken fence;                  ///< The owner's token.
+	FenceToken fence;                  ///< Token of the owner.
 	uint64_t ends_noted = 0;           ///< Ends up to this number are recorded: the box may forget them.
-	std::optional<Millis> lease_until; ///< New end of the lease by the box's clock; none leaves it as it is.
-	Millis wait;                       ///< The answer may wait so long for an end.
+	std::optional<Millis> lease_until; ///< New end of the lease by the box's clock; unset to leave it unchanged.
+	Millis wait;                       ///< The box may hold back its answer this long until a run ends.
 };
 
 /** Answer to a LeaseOrder. */
 struct LeaseAnswer {
-	OrderAnswer order;               ///< How it ended.
-	std::vector<RunningRow> running; ///< What runs.
-	std::vector<EndedRow> ended;     ///< What has ended and isn't noted yet.
+	OrderAnswer order;               ///< Result of the order.
+	std::vector<RunningRow> running; ///< Current runs.
+	std::vector<EndedRow> ended;     ///< Ended runs that the owner hasn't acknowledged yet.
 };
 
-/** @return Word for a phase, as logs show it. @param phase The phase. */
+/** @return Name of a phase, as shown in logs. @param phase The phase. */
 const char *NameOf(JobPhase phase);
-/** @return Word for an outcome, as logs show it. @param outcome The outcome. */
+/** @return Name of an outcome, as shown in logs. @param outcome The outcome. */
 const char *NameOf(OrderOutcome outcome);
-/** @return Word for an ending, as logs show it. @param ending The ending. */
+/** @return Name of an ending, as shown in logs. @param ending The ending. */
 const char *NameOf(RunEnding ending);
 
-/** Orders to boxes. Answers come later, never from inside the call. */
+/** Sends orders to boxes. Answers are delivered later, never from inside the call. */
 class BoxOrders {
 public:
 	virtual ~BoxOrders() = default;
 	using Done = std::function<void(OrderAnswer)>;
 
-	/** Starts a task. @param box Where. @param order What. @param done Gets the answer. */
+	/** Starts a task. @param box Receiver of the order. @param order The order. @param done Called with the answer. */
 	virtual void Start(const BoxReport &box, const StartOrder &order, Done done) = 0;
-	/** Stops a run, or makes sure that it never starts. @param box Where. @param task The task. @param run Which
-	 * start. @param fence The owner's token. @param done Gets the answer. */
+	/** Stops a run, or makes sure that it never starts. @param box Receiver of the order. @param task The task. @param
+	 * run Number of the run. @param fence Token of the owner. @param done Called with the answer. */
 	virtual void Stop(const BoxReport &box, const TaskId &task, RunNumber run, FenceToken fence, Done done) = 0;
-	/** Prolongs the lease and lists runs. @param box Where. @param order What. @param done Gets the answer. */
+	/** Renews the lease and lists runs. @param box Receiver of the order. @param order The order. @param done Called
+	 * with the answer. */
 	virtual void Lease(const BoxReport &box, const LeaseOrder &order, std::function<void(LeaseAnswer)> done) = 0;
-	/** Sets the pace of a run. @param box Where. @param task The task. @param run Which start. @param percent Share of
-	 * full pace. @param fence The owner's token. @param done Gets the answer. */
+	/** Sets the pace of a run. @param box Receiver of the order. @param task The task. @param run Number of the run.
+	 * @param percent Percent of full pace. @param fence Token of the owner. @param done Called with the answer. */
 	virtual void Pace(const BoxReport &box, const TaskId &task, RunNumber run, int64_t percent, FenceToken fence,
 					  Done done) = 0;
 };
--- a/src/jobs/shard_base.h
+++ b/src/jobs/shard_base.h
@@ -14,21 +14,21 @@
 #include <set>
 
 /**
- * Decides for one service, while this node owns it: which box runs which task, and when. A placement is recorded before
- * its order leaves, an end before the box may forget it; so another owner can go on at any moment, and a deposed one
- * can't start anything.
+ * Schedules the tasks of one service on its boxes while this node owns the service. A placement is recorded before its
+ * start order is sent, and an end before the box may forget it, so that another owner can take over at any moment and a
+ * superseded one can't start anything.
  */
 class Shard {
 public:
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param journal Records; outlives this.
-	 * @param orders Boxes; outlives this.
-	 * @param log Lines; outlives this.
-	 * @param service The service.
+	 * @param journal Appends records to the log; must outlive this object.
+	 * @param orders Sends orders to boxes; must outlive this object.
+	 * @param log Event log; must outlive this object.
+	 * @param service Name of the service.
 	 * @param fence Token of this ownership.
-	 * @param limits Figures.
-	 * @param advisor Knows the policies of routes; null when there is none; outlives this.
+	 * @param limits Time limits.
+	 * @param advisor Client of the placement policy, or null when there is none; must outlive this object.
 	 */
 	Shard(Scheduler &scheduler, PairedJournal &journal, BoxOrders &orders, EventLog &log, ServiceName service,
 		  FenceToken fence, ShardLimits limits, PlacementAdvisor *advisor = nullptr);
@@ -36,158 +36,161 @@
 	Shard(const Shard &) = delete;
 	Shard &operator=(const Shard &) = delete;
 
-	/** Takes over recorded progress, before Begin(): of two records of a job, the newer one. @param id The job. @param
-	 * progress What is recorded. */
+	/** Restores recorded progress; of two records of a job the newer one wins. To be called before Begin(). @param id
+	 * Id of the job. @param progress Recorded progress. */
 	void Restore(const JobId &id, const StoredProgress &progress);
-	/** The owner before has let go by itself, or there was none. Before Begin(). @param span For so long owners before
-	 * that one may still prolong leases. Told on from owner to owner: tasks of a dark box stood for 43 s when each of
-	 * five owners within 30 s began to count anew. */
+	/** Notes that the previous owner has released the shard, or that there was none. To be called before Begin().
+	 * @param span How long owners before that one may still renew leases. Passed on from owner to owner: when each of
+	 * five owners within 30 s started the wait anew, tasks of an unreachable box were not restarted for 43 s. */
 	void SetEarlierLeaseSpan(Millis span) { this->earlier_leases_until = this->owned_since + span; }
-	/** @return For how long earlier owners may still prolong leases. */
+	/** @return How long earlier owners may still renew leases. */
 	[[nodiscard]] Millis EarlierLeaseSpanLeft() const
 	{
 		return std::max(this->earlier_leases_until - this->scheduler.Now(), Millis(0));
 	}
 	/**
-	 * Empties boxes for planned work: nothing is placed there, and what lasts moves away as its limits allow.
-	 * @param drain The boxes, until the next call or for a short time.
-	 * @param due Boxes that will be emptied before long: what lasts is rather placed elsewhere.
+	 * Drains boxes for planned maintenance: nothing is placed there, and lasting tasks move away as their limits allow.
+	 * @param drain Boxes to drain, until the next call or for a short time.
+	 * @param due Boxes that will be drained soon: lasting tasks are placed elsewhere if possible.
 	 */
 	void Drain(const std::set<BoxName> &drain, const std::set<BoxName> &due);
-	/** Lives have ended: what ran there is lost. @param lives Lives that don't come back, also of other pools. */
+	/** Notes that incarnations have ended and their runs are lost. @param incarnations The ended incarnations, also
+	 * those of other pools. */
 	void NoteEnded(const std::set<BoxIncarnation> &incarnations);
-	/** @return Whether the log has confirmed this ownership lately: another owner may place tasks otherwise, and what
-	 * is said of boxes here may be over. */
+	/** @return Whether the log has confirmed this ownership recently. Otherwise another owner may be placing tasks, and
+	 * the state of boxes held here may be outdated. */
 	[[nodiscard]] bool Confirmed() const;
-	/** Takes what the ledger of shares lends this service. @param loan It. */
+	/** Applies the quota that accounts may use in this service. @param loan Quota granted by the share ledger. */
 	void TakeLoan(const ShareLoan &loan);
-	/** @return How the pool stands. */
+	/** @return Status of the pool. */
 	[[nodiscard]] PoolStatus Status();
-	/** Takes a job; one that is known is ignored. @param spec The job. @param recorded Whether the log has it. */
+	/** Adds a job; a known one is ignored. @param spec The job. @param recorded Whether the log has it. */
 	void Submit(const JobSpec &spec, bool recorded = true);
-	/** Cancels a job, also one that comes later. @param id The job. @param account Account of the caller: another
-	 * account's job is left alone. */
+	/** Cancels a job, also one that is submitted later. @param id Id of the job. @param account Account of the caller;
+	 * a job of another account is not cancelled. */
 	void Cancel(const JobId &id, const AccountName &account);
-	/** Takes a submission or cancellation that is recorded with the next append, together with the placements that
-	 * follow from it. @param incoming It. */
+	/** Accepts a submission or cancellation. It is recorded with the next append, together with the placements that
+	 * follow from it. @param incoming Record of the caller. */
 	void Accept(IncomingRecord incoming);
-	/** Takes a configuration. @param config It. */
+	/** Applies a configuration. @param config The configuration. */
 	void Configure(const JobConfig &config);
-	/** Takes a box's report. @param report It. */
+	/** Handles a report of a box. @param report The report. */
 	void OnReport(const BoxReport &report);
-	/** The report under an id is gone. @param id The id. */
+	/** Handles the removal of a report. @param id Id of the box's agent. */
 	void OnReportRemoved(const BoxId &id);
-	/** Tells where a life answered whose report has gone. Before Begin(). @param report Its last report. */
+	/** Passes on the address of an incarnation whose report was removed. To be called before Begin(). @param report Its
+	 * last report. */
 	void NoteRemovedReport(const BoxReport &report) { this->removed_reports[report.incarnation] = report; }
-	/** Everything known when the shard was claimed has been told: begins to place. */
+	/** Starts to place tasks. To be called once all records known when the shard was claimed have been passed in. */
 	void Begin();
 
-	/** An append that was not this shard's own has ended: what had to wait for it goes on. */
+	/** Continues after the end of an append that was not this shard's own. */
 	void OnJournalFree();
-	/** The log has refused an append for certain: callers are refused and nothing is placed for a moment. */
+	/** Handles an append that the log has certainly refused: callers are refused and nothing is placed for a moment. */
 	void OnJournalRefused();
 
-	/** @return What is known of a job. @param id The job. */
+	/** @return Recorded status of a job. @param id Id of the job. */
 	[[nodiscard]] JobView View(const JobId &id) const;
-	/** @return Jobs of a route that no task was started of. @param route The route. */
+	/** @return Number of jobs of a route of which no task was started. @param route Name of the route. */
 	[[nodiscard]] uint32_t Waiting(const RouteName &route) const;
-	/** @return Batches that were recorded around the shard's partition, since it didn't answer. */
+	/** @return Number of batches recorded in the spare partition because the shard's own one didn't answer. */
 	[[nodiscard]] uint64_t Detours() const { return this->journal.Detours(); }
 	/** @return Counters. */
 	[[nodiscard]] const ShardCounters &Counters() const { return this->counters; }
-	/** @return What waits. */
+	/** @return Queue lengths. */
 	[[nodiscard]] ShardBacklog Backlog() const
 	{
 		return ShardBacklog{this->recorded_starts.size(), this->starts_under_way, this->incoming.size()};
 	}
-	/** @return How many of its boxes are in use, and why others are not. */
+	/** @return Numbers of boxes by state. */
 	[[nodiscard]] BoxCounts CountBoxes() const;
-	/** @return Boxes. */
+	/** @return Boxes by incarnation. */
 	[[nodiscard]] const std::map<BoxIncarnation, ShardBox> &Boxes() const { return this->boxes; }
-	/** @return What accounts have running here. */
+	/** @return Resources that accounts use here. */
 	[[nodiscard]] const AccountBook &Accounts() const { return this->book; }
-	/** @return Jobs. */
+	/** @return Jobs by id, also those that are over. */
 	[[nodiscard]] const ShardJobs &Jobs() const { return this->jobs; }
 
-	std::function<void()> on_deposed; ///< A box has seen a higher token. Called last in a turn.
-	/** Reads what lies in the inbox by now, and calls back once that has been told. Null when there is no inbox. */
+	std::function<void()> on_deposed; ///< Called last in a turn when a box has seen a higher token.
+	/** Reads the inbox up to its current end and calls back once its records have been passed in. Null when there is no
+	 * inbox. */
 	std::function<void(std::function<void()>)> read_inbox;
 
 private:
-	/** A start order that waits for its record. */
+	/** A start order whose record is pending. */
 	struct PendingStart {
 		TaskId task;   ///< The task.
-		RunNumber run; ///< Which start.
+		RunNumber run; ///< Number of the run.
 	};
 
-	/** A stop for planned work that waits for its record. */
+	/** A stop order for planned maintenance whose record is pending. */
 	struct PendingStop {
 		TaskId task;   ///< The task.
-		RunNumber run; ///< Which start.
+		RunNumber run; ///< Number of the run.
 	};
 
-	/** What goes on when a batch is recorded. */
+	/** What to continue with once a batch of records is durable. */
 	struct Batch {
 		std::vector<PendingStart> starts;        ///< Starts to send.
 		std::vector<PendingStop> stops;          ///< Stops to send.
-		std::map<BoxIncarnation, uint64_t> ends; ///< Ends that boxes may forget, up to these numbers.
-		std::map<JobId, JobPhase> phases;        ///< Phases of the jobs recorded.
-		std::vector<IncomingRecord> taken;       ///< Callers' records that it takes along.
-		Millis made_at;                          ///< When it was handed to the journal.
+		std::map<BoxIncarnation, uint64_t> ends; ///< Numbers up to which boxes may forget ends.
+		std::map<JobId, JobPhase> phases;        ///< Phases of the recorded jobs.
+		std::vector<IncomingRecord> taken;       ///< Callers' records in the batch.
+		Millis made_at;                          ///< When it was passed to the journal.
 	};
 
-	Scheduler &scheduler;                              ///< Clock and timers.
-	PairedJournal &journal;                            ///< Records.
-	BoxOrders &orders;                                 ///< Boxes.
-	EventLog &log;                                     ///< Lines.
-	ServiceName service;                               ///< The service.
-	FenceToken fence;                                  ///< Number of this ownership: see NextFence().
-	uint64_t incarnations_seen = 0;                    ///< Lives of boxes that this owner has learned of.
-	ShardLimits limits;                                ///< Figures.
-	Millis owned_since;                                ///< When this ownership began.
-	Millis earlier_leases_until;                       ///< Until then an earlier owner may prolong leases.
-	Millis log_unreachable_at{-1000000};               ///< When the log had last not been heard of for long.
-	bool begun = false;                                ///< Whether Begin().
-	bool turn_scheduled = false;                       ///< Whether a turn is due.
-	bool place_wanted = false;                         ///< Whether a turn came while records were under way.
-	bool superseded = false;                           ///< Whether a box has seen a higher token.
-	JobConfig config;                                  ///< The configuration in force.
-	ShardJobs jobs;                                    ///< Jobs, also those that are over.
-	std::map<JobId, ShardJob *> live;                  ///< Jobs that are not over.
-	std::map<JobId, StoredProgress> restored;          ///< Recorded progress whose submission is not there yet.
-	std::set<std::pair<JobId, AccountName>> cancelled; ///< Cancellations, also of jobs that are not there, by caller.
-	AccountBook book;                                  ///< What accounts have running here.
+	Scheduler &scheduler;                     ///< Clock and timers.
+	PairedJournal &journal;                   ///< Appends records to the log.
+	BoxOrders &orders;                        ///< Sends orders to boxes.
+	EventLog &log;                            ///< Event log.
+	ServiceName service;                      ///< Name of the service.
+	FenceToken fence;                         ///< Token of this ownership: see NextFence().
+	uint64_t incarnations_seen = 0;           ///< Incarnations of boxes that this owner has learned of.
+	ShardLimits limits;                       ///< Time limits.
+	Millis owned_since;                       ///< When this ownership started.
+	Millis earlier_leases_until;              ///< Until then an earlier owner may renew leases.
+	Millis log_unreachable_at{-1000000};      ///< When the log was last found unreachable.
+	bool begun = false;                       ///< Whether Begin() was called.
+	bool turn_scheduled = false;              ///< Whether a turn is scheduled to run at once.
+	bool place_wanted = false;                ///< Whether a turn skipped placing because an append was under way.
+	bool superseded = false;                  ///< Whether a box has seen a higher token.
+	JobConfig config;                         ///< The configuration in force.
+	ShardJobs jobs;                           ///< All jobs, also those that are over.
+	std::map<JobId, ShardJob *> live;         ///< Jobs that are not over.
+	std::map<JobId, StoredProgress> restored; ///< Recorded progress of jobs whose submission hasn't arrived.
+	std::set<std::pair<JobId, AccountName>> cancelled; ///< Cancellations by caller, also of jobs that haven't arrived.
+	AccountBook book;                                  ///< Resources that accounts use here.
 	std::map<BoxIncarnation, ShardBox> boxes;          ///< Boxes of the service.
 	std::map<BoxIncarnation, BoxReport>
-			removed_reports;                      ///< Last reports of lives whose report has gone, until Begin().
-	Millis order_unanswered_at{-1000000};         ///< When a box was last seen to live on after an unanswered order.
-	std::set<BoxId> held;                         ///< Ids whose next life may carry out orders to the one before.
-	std::map<BoxId, BoxReport> older_reports;     ///< Reports of lives that began before one that is known.
-	std::map<RouteName, double> run_times;        ///< ms that tasks of a route took, on a scale of ratios, smoothed.
-	std::map<uint64_t, IncomingRecord> incoming;  ///< Records that wait for the next append, in the order of arrival.
-	uint64_t incoming_last = 0;                   ///< Number of the last of them.
-	Millis starts_spaced_until;                   ///< Until then starts on one box are kept apart.
-	std::set<TaskId> crash_causes;                ///< Tasks that a crash has named, also some that are over.
-	std::optional<BoxIncarnation> quarantine_box; ///< Box that is kept for them, while some wait.
-	Millis refused_at{-1000000};                  ///< When the log had last refused what was to be recorded.
-	std::vector<IncomingRecord> accepted;         ///< Those that the next append takes along.
-	std::set<JobId> dirty;                        ///< Jobs to be recorded.
-	std::vector<PendingStart> starts;             ///< Orders to send once recorded.
-	std::vector<PendingStop> stops;               ///< Stops for planned work to send once recorded.
-	std::deque<PendingStart> recorded_starts;     ///< Recorded ones that wait for their turn to be sent.
-	size_t starts_under_way = 0;                  ///< Start orders without answer.
-	bool starts_held = false;                     ///< Whether recorded starts wait for the inbox to be read.
-	Millis renewal_gap;                           ///< Least time between two lease orders to a box.
+			removed_reports;                  ///< Last reports of incarnations whose report was removed; until Begin().
+	Millis order_unanswered_at{-1000000};     ///< When a box was last found running after an order without an answer.
+	std::set<BoxId> held;                     ///< Ids whose next incarnation may carry out orders to the previous one.
+	std::map<BoxId, BoxReport> older_reports; ///< Reports of incarnations that started before a known one.
+	std::map<RouteName, double> run_times;    ///< Run times of a route's tasks in ms: geometric moving average.
+	std::map<uint64_t, IncomingRecord> incoming; ///< Records that wait for the next append, in order of arrival.
+	uint64_t incoming_last = 0;                  ///< Number of the newest of them.
+	Millis starts_spaced_until;    ///< Until then, starts of different jobs on one box are spaced in time.
+	std::set<TaskId> crash_causes; ///< Isolated crash causes; some may be over.
+	std::optional<BoxIncarnation> quarantine_box; ///< Box reserved for them while some wait.
+	Millis refused_at{-1000000};                  ///< When the log last refused an append.
+	std::vector<IncomingRecord> accepted;         ///< Records that go into the next append.
+	std::set<JobId> dirty;                        ///< Jobs whose progress is to be recorded.
+	std::vector<PendingStart> starts;             ///< Start orders to send once recorded.
+	std::vector<PendingStop> stops;               ///< Stop orders to send once recorded.
+	std::deque<PendingStart> recorded_starts;     ///< Recorded start orders that wait to be sent.
+	size_t starts_under_way = 0;                  ///< Start orders without an answer.
+	bool starts_held = false;                     ///< Whether recorded starts wait until the inbox has been read.
+	Millis renewal_gap;                           ///< Minimum time between two lease orders to a box.
 	uint64_t last_renewal = 0;                    ///< Number of the last answered lease order.
-	Millis boxes_checked_at{-1000000};            ///< When CheckBoxes() last went through the boxes.
-	bool boxes_changed = false;                   ///< Whether one changed since in a way that can't wait.
-	Millis turn_due;                              ///< When the next turn is due, or the last one was.
-	double late_ms = 0;                           ///< How late turns are, smoothed.
-	Millis starts_waited_at{-1000000};            ///< When recorded starts last waited for their turn to be sent.
-	TicketCache tickets;                          ///< What policies of routes allow.
-	ShardCounters counters;                       ///< Counters.
-	TimerId timer;                                ///< Next turn without an event.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	Millis boxes_checked_at{-1000000};            ///< When CheckBoxes() last visited the boxes.
+	bool boxes_changed = false;        ///< Whether a box changed since then in a way that needs a check at once.
+	Millis turn_due;                   ///< When the next turn is due, or the last one was.
+	double late_ms = 0;                ///< Smoothed lateness of turns.
+	Millis starts_waited_at{-1000000}; ///< When recorded starts were last left waiting to be sent.
+	TicketCache tickets;               ///< Tickets of the placement policy.
+	ShardCounters counters;            ///< Counters.
+	TimerId timer;                     ///< Next turn.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this object.
 
 	/* shard_jobs.cpp */
 	void ScheduleTurn();
@@ -207,10 +210,10 @@
 
 	/* shard_records.cpp */
 	[[nodiscard]] bool MayRecord() const;
-	/** @return What is known of a record that is not taken: RC_OK when the log has it, RC_OUTCOME_UNKNOWN when it may.
-	 */
+	/** @return Result to report for a record that is not accepted: RC_OK when the log has it already,
+	 * RC_OUTCOME_UNKNOWN when it may have it. */
 	[[nodiscard]] ResultCode KnownResultOf(const IncomingRecord &incoming) const;
-	/** @return Whether a record is about a job that another account has handed in. */
+	/** @return Whether a record concerns a job that another account has submitted. */
 	[[nodiscard]] bool OfOtherAccount(const InboxKey &name) const;
 	void Withdraw(uint64_t number);
 	void TakeIncoming();
@@ -224,15 +227,15 @@
 	void Forget(const JobId &id);
 
 	/* shard_rank.cpp */
-	/** A job with its place in the order. */
+	/** A job with its sort key. */
 	struct RankedJob {
-		JobRank rank;            ///< Its rank.
+		JobRank rank;            ///< Sort key.
 		ShardJob *job = nullptr; ///< The job.
 	};
 
 	[[nodiscard]] std::vector<RankedJob> JobsInOrder();
 	void MarkBeyondShares(std::vector<RankedJob> &jobs, const PlaceRound &round) const;
-	/** @return Thousandths of a core that jobs that can't be on time any more take on a box. */
+	/** @return Thousandths of a core on a box that are used by jobs that can't be on time any more. */
 	[[nodiscard]] int64_t LateCpuOn(const ShardBox &box, Millis wall_now);
 	[[nodiscard]] static JobRank RankOf(const ShardJob &job, Millis wall_now);
 	[[nodiscard]] double RunTimeOf(const ShardJob &job, const StepSpec &step) const;
@@ -290,9 +293,9 @@
 	void OnLease(const SentOrder &sent, uint64_t noted, const LeaseAnswer &answer);
 	void OnLeaseFailed(ShardBox &box, OrderOutcome outcome);
 	[[nodiscard]] bool Overloaded() const;
-	/** @return When a box may be looked at again. @param box It. */
+	/** @return When the lease of a box may be renewed next. @param box The box. */
 	[[nodiscard]] Millis RenewalDue(const ShardBox &box);
-	/** @return When the middle one of a box's runs is expected to have ended. @param box It. */
+	/** @return Mean of the expected end times of a box's runs. @param box The box. */
 	[[nodiscard]] Millis EndsExpected(const ShardBox &box);
 	[[nodiscard]] Millis LeaseWait(const ShardBox &box) const;
 	void NoteOutcome(ShardBox &box, Millis sent, OrderOutcome outcome);
--- a/src/jobs/shard_owner.cpp
+++ b/src/jobs/shard_owner.cpp
@@ -162,10 +162,10 @@
 	}
 	IncomingRecord incoming{KeyedRecord{ACCEPTED_PREFIX + record.key, record.value}, std::nullopt,
 							ParseInboxKey(record.key), std::move(done)};
-	if (!incoming.name.is_cancellation) {
-		incoming.spec = DecodeSubmission(incoming.name.job, record.value.value_or(std::string()));
+	if (!incoming.inbox_key.is_cancellation) {
+		incoming.spec = DecodeSubmission(incoming.inbox_key.job, record.value.value_or(std::string()));
 	}
-	if (!incoming.name.is_cancellation && !incoming.spec) {
+	if (!incoming.inbox_key.is_cancellation && !incoming.spec) {
 		this->context.events.Write("bad_record", {{"topic", this->progress.topic}, {"key", record.key}});
 		incoming.done(ResultCode::RC_LOG_UNAVAILABLE);
 		return;
--- a/src/jobs/shard_owner.h
+++ b/src/jobs/shard_owner.h
@@ -1,4 +1,4 @@
-/** @file shard_owner.h Claims a shard in the log, loads it, runs it, and lets go of it. */
+/** @file shard_owner.h Claims a shard in the log, loads it, runs it and releases it. */
 #ifndef SHARD_OWNER_H
 #define SHARD_OWNER_H
 
@@ -6,40 +6,40 @@
 #include "../store/partition_claim.h"
 #include "shard_base.h"
 
-/** Partition of a service's topic in which the owner records progress. */
+/** Partition of a service's topic to which the owner appends progress. */
 inline constexpr uint32_t PROGRESS_PARTITION = 0;
-/** Partition of a service's topic in which any node records submissions and cancellations. */
+/** Partition of a service's topic to which any node appends submissions and cancellations. */
 inline constexpr uint32_t INBOX_PARTITION = 1;
 
-/** Before the key of an inbox's record in the key under which the owner records it, among the progress. */
+/** Prefix of the key of a submission or cancellation that the owner appends to the progress partition. */
 inline constexpr char ACCEPTED_PREFIX = 'j';
-/** Before the id of a job in the key under which the owner records its progress in the inbox, while the partition of
- * progress doesn't answer. Behind all digits of ids. */
+/** Prefix of the key of progress that the owner appends to the inbox while the progress partition doesn't answer. Sorts
+ * after all digits of ids. */
 inline constexpr char PROGRESS_PREFIX = 'p';
 
-/** @return Topic of a service. @param service The service. */
+/** @return Name of the log topic of a service. @param service Name of the service. */
 std::string TopicOf(const ServiceName &service);
 
-/** What an owner needs of its node. */
+/** Services of the node that an owner uses. */
 struct ShardOwnerContext {
 	Scheduler &scheduler;                ///< Clock and timers.
-	KeyedLog &log;                       ///< The log.
-	BoxOrders &orders;                   ///< Boxes.
-	EventLog &events;                    ///< Lines.
-	std::string address;                 ///< Where this node answers others.
-	ShardLimits limits;                  ///< Figures.
-	PlacementAdvisor *advisor = nullptr; ///< Knows the policies of routes; null when there is none.
+	KeyedLog &log;                       ///< Client of the log.
+	BoxOrders &orders;                   ///< Sends orders to boxes.
+	EventLog &events;                    ///< Event log.
+	std::string address;                 ///< Address at which other nodes reach this one.
+	ShardLimits limits;                  ///< Time limits.
+	PlacementAdvisor *advisor = nullptr; ///< Client of the placement policy; null when there is none.
 	std::string group;                   ///< Group of the nodes that may be owners.
 };
 
-/** Ownership of one shard, from the wish to own it on. Destroying it lets go. */
+/** Ownership of one shard: waits for the claim, then loads and runs the shard. Destroying it stops the shard. */
 class ShardOwner {
 public:
 	/**
-	 * @param context What it needs; outlives this.
-	 * @param service The service.
-	 * @param wanted Whether this node is the one to claim the shard when its owner is gone.
-	 * @param watches Whether it watches the shard's owner beside that one.
+	 * @param context Services of the node; must outlive this object.
+	 * @param service Name of the service.
+	 * @param wanted Returns whether this node should claim the shard when it has no live owner.
+	 * @param watches Returns whether this node monitors the shard's owner in addition to that node.
 	 */
 	ShardOwner(const ShardOwnerContext &context, ServiceName service, std::function<bool()> wanted,
 			   std::function<bool()> watches);
@@ -47,59 +47,60 @@
 	ShardOwner(const ShardOwner &) = delete;
 	ShardOwner &operator=(const ShardOwner &) = delete;
 
-	/** Begins to claim. */
+	/** Starts to claim the shard. */
 	void Start();
-	/** Lets go because another node is to own the shard: no lease is prolonged from now on, and the log tells so. The
-	 * object may be destroyed once `done` was called. @param done Called when the log has it, or another owner came. */
+	/** Releases the shard because another node is to own it: no lease is renewed from now on, and the release is
+	 * recorded in the log. The object may be destroyed once `done` was called. @param done Called when the release is
+	 * durable or another owner has claimed the shard. */
 	void Release(const std::function<void()> &done);
-	/** Takes a configuration. @param config It. */
+	/** Applies a configuration. @param config The configuration. */
 	void Configure(const JobConfig &config);
-	/** Takes a caller's record, as it would lie in the inbox. @param record It. @param done Gets RC_OK once it is
-	 * durable, RC_PEER_UNAVAILABLE or RC_LOG_UNAVAILABLE when it never will be. */
+	/** Accepts a record of a caller. @param record The record in the format of the inbox. @param done Called with RC_OK
+	 * once it is durable, RC_PEER_UNAVAILABLE or RC_LOG_UNAVAILABLE when it never will be. */
 	void Accept(const KeyedRecord &record, std::function<void(ResultCode)> done);
-	/** Takes a box's report. @param report It. */
+	/** Handles a report of a box. @param report The report. */
 	void OnReport(const BoxReport &report);
-	/** The report under an id is gone. @param id The id. */
+	/** Handles the removal of a report. @param id Id of the box's agent. */
 	void OnReportRemoved(const BoxId &id);
-	/** Tells where a life answered whose report has gone, before this owner has claimed. @param report Its last report.
-	 */
+	/** Passes on the address of an incarnation whose report was removed before this owner has claimed the shard. @param
+	 * report Its last report. */
 	void NoteRemovedReport(const BoxReport &report) { this->removed_reports.push_back(report); }
-	/** @return Whether this node owns the shard in the log. */
+	/** @return Whether this node owns the shard according to the log. */
 	[[nodiscard]] bool Claimed() const { return this->journal != nullptr; }
 	/** @return Whether another node owns the shard. */
 	[[nodiscard]] bool Waiting() const { return !this->journal && this->claim && this->claim->Waiting(); }
-	/** @return The shard, once it has been loaded; null before. */
+	/** @return The shard once it has been loaded, otherwise null. */
 	[[nodiscard]] const Shard *Running() const { return this->running ? this->shard.get() : nullptr; }
-	/** @return The same, to be asked to do something. */
+	/** @return The same, mutable. */
 	[[nodiscard]] Shard *Running() { return this->running ? this->shard.get() : nullptr; }
-	/** @return Whether everything submitted until shortly ago is known: a job that isn't known doesn't exist. */
+	/** @return Whether all submissions up to a moment ago are known, so that an unknown job doesn't exist. */
 	[[nodiscard]] bool Fresh() const;
 
-	std::function<void()> on_running; ///< Told when the shard runs.
-	std::function<void()> on_lost;    ///< A later owner has claimed the shard: this object may be destroyed from here.
+	std::function<void()> on_running; ///< Called when the shard runs.
+	std::function<void()> on_lost;    ///< Called when a later owner has claimed the shard; may destroy this object.
 
 private:
-	ShardOwnerContext context;                                  ///< What it needs.
-	ServiceName service;                                        ///< The service.
-	std::function<bool()> wanted;                               ///< Whether this node is to claim.
-	std::function<bool()> watches;                              ///< Whether this node watches the owner.
-	PartitionId progress;                                       ///< Where progress lies.
-	uint64_t epoch = 0;                                         ///< Of the claim.
-	std::unique_ptr<PartitionClaim> claim;                      ///< The claim.
-	JobConfig config;                                           ///< The configuration in force.
-	std::map<BoxId, BoxReport> reports;                         ///< Reports of the service's boxes.
-	std::vector<BoxReport> removed_reports;                     ///< Last reports of lives whose report has gone.
-	std::unique_ptr<PairedJournal> journal;                     ///< Records, once claimed.
-	std::unique_ptr<Shard> shard;                               ///< Once claimed.
-	std::unique_ptr<KeyedFollower> inbox;                       ///< Once claimed.
-	std::vector<KeyedRecord> loading;                           ///< Submissions and cancellations read until then.
-	bool running = false;                                       ///< Whether the inbox is loaded.
-	TimerId confirm_timer;                                      ///< Next KeepConfirmed().
-	Millis confirm_due;                                         ///< When that is due.
-	Millis max_lateness;                                        ///< How late it came at most since the last line.
-	Millis load_logged_at;                                      ///< When LogLoad() wrote its last line.
-	ShardCounters logged_counters;                              ///< The shard's counters at that time.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	ShardOwnerContext context;              ///< Services of the node.
+	ServiceName service;                    ///< Name of the service.
+	std::function<bool()> wanted;           ///< Returns whether this node should claim the shard.
+	std::function<bool()> watches;          ///< Returns whether this node monitors the owner.
+	PartitionId progress;                   ///< Progress partition.
+	uint64_t epoch = 0;                     ///< Epoch of the claim.
+	std::unique_ptr<PartitionClaim> claim;  ///< Claim of the progress partition.
+	JobConfig config;                       ///< The configuration in force.
+	std::map<BoxId, BoxReport> reports;     ///< Reports of the service's boxes.
+	std::vector<BoxReport> removed_reports; ///< Last reports of incarnations whose report was removed.
+	std::unique_ptr<PairedJournal> journal; ///< Appends records; set once claimed.
+	std::unique_ptr<Shard> shard;           ///< Set once claimed.
+	std::unique_ptr<KeyedFollower> inbox;   ///< Reads the inbox; set once claimed.
+	std::vector<KeyedRecord> loading;       ///< Submissions and cancellations read before the inbox was loaded.
+	bool running = false;                   ///< Whether the inbox has been loaded.
+	TimerId confirm_timer;                  ///< Next call of KeepConfirmed().
+	Millis confirm_due;                     ///< When that call is due.
+	Millis max_lateness;                    ///< Maximum lateness of these calls since the last load log line.
+	Millis load_logged_at;                  ///< When LogLoad() wrote its last line.
+	ShardCounters logged_counters;          ///< Counters of the shard at that time.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this object.
 
 	void Run(const ClaimedPartition &claimed);
 	void OnInbox(const KeyedRecord &record);
--- a/src/jobs/shard_records.cpp
+++ b/src/jobs/shard_records.cpp
@@ -33,7 +33,7 @@
 	const Millis now = this->scheduler.Now();
 	const bool unconfirmed =
 			now - this->journal.ConfirmedAt() > LOG_UNCONFIRMED_MAX || now - this->refused_at < REFUSAL_PAUSE;
-	if (this->OfOtherAccount(incoming.name)) {
+	if (this->OfOtherAccount(incoming.inbox_key)) {
 		incoming.done(ResultCode::RC_OTHER_ACCOUNT);
 		return;
 	}
@@ -55,10 +55,11 @@
 {
 	/* The same may have come before: its record stands, or is in a batch that the log may yet take. */
 	if (!incoming.spec) {
-		return this->cancelled.contains({incoming.name.job, incoming.name.account}) ? ResultCode::RC_OUTCOME_UNKNOWN
-																					: ResultCode::RC_LOG_UNAVAILABLE;
+		return this->cancelled.contains({incoming.inbox_key.job, incoming.inbox_key.account})
+					   ? ResultCode::RC_OUTCOME_UNKNOWN
+					   : ResultCode::RC_LOG_UNAVAILABLE;
 	}
-	const auto it = this->jobs.find(incoming.name.job);
+	const auto it = this->jobs.find(incoming.inbox_key.job);
 	if (it == this->jobs.end()) {
 		return ResultCode::RC_LOG_UNAVAILABLE;
 	}
@@ -81,18 +82,18 @@
 void Shard::TakeIncoming()
 {
 	for (IncomingRecord &it : std::exchange(this->incoming, {}) | std::views::values) {
-		if (this->OfOtherAccount(it.name)) {
+		if (this->OfOtherAccount(it.inbox_key)) {
 			it.done(ResultCode::RC_OTHER_ACCOUNT); /* Two came at once with one id. */
 			continue;
 		}
-		const bool known =
-				it.spec ? this->jobs.contains(it.name.job) : this->cancelled.contains({it.name.job, it.name.account});
+		const bool known = it.spec ? this->jobs.contains(it.inbox_key.job)
+								   : this->cancelled.contains({it.inbox_key.job, it.inbox_key.account});
 		if (known) {
 			it.record.key.clear(); /* Recorded before: no append is under way. */
 		} else if (it.spec) {
 			this->Submit(*it.spec, false);
 		} else {
-			this->Cancel(it.name.job, it.name.account);
+			this->Cancel(it.inbox_key.job, it.inbox_key.account);
 		}
 		this->accepted.push_back(std::move(it));
 	}
@@ -218,7 +219,7 @@
 
 void Shard::NoteRecorded(const IncomingRecord &incoming)
 {
-	if (const auto it = this->jobs.find(incoming.name.job); it != this->jobs.end() && incoming.spec) {
+	if (const auto it = this->jobs.find(incoming.inbox_key.job); it != this->jobs.end() && incoming.spec) {
 		it->second.recorded = true;
 	}
 }
@@ -230,7 +231,7 @@
 	std::ranges::copy(batch.phases | std::views::keys, std::inserter(this->dirty, this->dirty.end()));
 	std::vector<IncomingRecord> refused;
 	for (const IncomingRecord &it : batch.taken) {
-		const auto job = this->jobs.find(it.name.job);
+		const auto job = this->jobs.find(it.inbox_key.job);
 		const bool stays = !it.spec || (job != this->jobs.end() && job->second.recorded);
 		if (stays) {
 			/* A cancellation has had its effect already; a job that came by the inbox as well is kept. */
@@ -238,7 +239,7 @@
 			continue;
 		}
 		if (job != this->jobs.end()) {
-			this->Forget(it.name.job);
+			this->Forget(it.inbox_key.job);
 		}
 		refused.push_back(it);
 	}
--- a/src/jobs/shard_type.h
+++ b/src/jobs/shard_type.h
@@ -1,4 +1,4 @@
-/** @file shard_type.h What a shard knows of its jobs, their tasks and its boxes. */
+/** @file shard_type.h State that a shard keeps of its jobs, their tasks and its boxes. */
 #ifndef SHARD_TYPE_H
 #define SHARD_TYPE_H
 
@@ -14,15 +14,16 @@
 #include <unordered_map>
 #include <vector>
 
-/** Figures that a shard works with. */
+/** Time limits of a shard. */
 struct ShardLimits {
-	Millis lease = Millis(4500); ///< Lease asked for; bridges a change of owner (about 2.5 s), ends a dark box soon.
+	Millis lease = Millis(4500); ///< Requested lease: bridges a change of owner (about 2.5 s) but soon ends runs on an
+								 ///< unreachable box.
 	Millis lease_max = Millis(10000); ///< Longest lease that boxes grant (setting).
-	Millis lease_wait =
-			Millis(1000); ///< A box holds its answer back so long for an end: also the refresh of the lease.
-	/** An owner that has not heard of the log for so long prolongs no lease: with the lease it bridges outages of 9 s.
-	 * Another owner has to wait as long for a box that it can't reach: 9.2 s, after 2 s until it has claimed. With 6.5
-	 * s here a lasting task was restarted 13 s after its box and its owner had died. */
+	Millis lease_wait = Millis(
+			1000); ///< A box holds back its answer this long until a run ends; also the interval of lease renewals.
+	/** An owner renews no lease after the log has not confirmed it for this long. Together with the lease, this bridges
+	 * log outages of 9 s. A new owner must wait as long for a box that it can't reach: 9.2 s, after 2 s to claim the
+	 * shard. With 6.5 s, a lasting task was restarted only 13 s after its box and its owner had failed. */
 	Millis owner_term = Millis(4500);
 };
 
@@ -31,251 +32,254 @@
 	uint64_t starts = 0;          ///< Start orders sent.
 	uint64_t stops = 0;           ///< Stop orders sent.
 	uint64_t looks = 0;           ///< Lease orders sent.
-	uint64_t done = 0;            ///< Runs that ended well.
+	uint64_t done = 0;            ///< Runs that ended successfully.
 	uint64_t failed = 0;          ///< Runs that failed.
 	uint64_t lapsed = 0;          ///< Runs lost with their box or lease.
-	uint64_t refused = 0;         ///< Starts that boxes refused.
-	uint64_t unknown = 0;         ///< Starts without an answer.
-	uint64_t crashed = 0;         ///< Runs under which a box has crashed for certain.
-	uint64_t restarted = 0;       ///< Boxes that started again under their id.
-	uint64_t inherited = 0;       ///< Runs that a box's next life began by an order to the one before.
-	uint64_t given_up = 0;        ///< Jobs that failed since a task of theirs crashes boxes.
-	uint64_t records_refused = 0; ///< Callers' records handed back since the log refused them.
-	uint64_t rounds = 0;          ///< Rounds of placing.
-	uint64_t boxes_walked = 0;    ///< Boxes gone through one by one, in turns and at the begin of rounds.
-	uint64_t tasks_walked = 0;    ///< Tasks on boxes gone through one by one.
+	uint64_t refused = 0;         ///< Start orders refused by boxes.
+	uint64_t unknown = 0;         ///< Start orders without an answer.
+	uint64_t crashed = 0;         ///< Runs counted as possible causes of a box's certain crash.
+	uint64_t restarted = 0;       ///< Boxes whose agent restarted under the same id.
+	uint64_t inherited = 0;       ///< Runs that an incarnation started by an order to the previous one.
+	uint64_t given_up = 0;        ///< Jobs failed because a task of theirs crashes boxes.
+	uint64_t records_refused = 0; ///< Callers' records returned because the log refused them.
+	uint64_t rounds = 0;          ///< Placement rounds.
+	uint64_t boxes_walked = 0;    ///< Boxes visited one by one, in turns and when a round starts.
+	uint64_t tasks_walked = 0;    ///< Tasks on boxes visited one by one.
 };
 
-/** What waits at an owner: it grows when the node has too little processor time. */
+/** Queue lengths at an owner; they grow when the node has too little processor time. */
 struct ShardBacklog {
-	size_t starts_waiting = 0;   ///< Recorded starts whose order has not left.
-	size_t starts_under_way = 0; ///< Start orders without answer.
+	size_t starts_waiting = 0;   ///< Recorded starts whose order has not been sent.
+	size_t starts_under_way = 0; ///< Start orders without an answer.
 	size_t callers_waiting = 0;  ///< Callers' records that wait for an append.
 };
 
-/** Boxes of a shard, for logs: beside the machines that are up they show what is kept from use. */
+/** Numbers of boxes of a shard, for logs: compared with the machines that are up, they show what is not in use. */
 struct BoxCounts {
-	size_t listed = 0;  ///< Boxes whose report stands.
-	size_t over = 0;    ///< Those of them that are taken to have ended.
-	size_t adopted = 0; ///< Those that have answered this owner.
-	size_t open = 0;    ///< Those on which tasks may be placed.
+	size_t listed = 0;  ///< Boxes that have a report.
+	size_t over = 0;    ///< Listed boxes that are considered ended.
+	size_t adopted = 0; ///< Listed boxes that have answered this owner.
+	size_t open = 0;    ///< Boxes that accept tasks.
 };
 
-/** What a run of a placed task is known to do. Not stored: a new owner asks the boxes. */
+/** Known state of the current run of a placed task. Not stored: a new owner asks the boxes. */
 enum class RunState : uint8_t {
 	RS_RECORDING = 0, ///< The placement is being recorded; no order was sent.
-	RS_ORDERED = 1,   ///< The order was sent; no answer yet.
-	RS_RUNNING = 2,   ///< The box has confirmed it.
+	RS_ORDERED = 1,   ///< The start order was sent; no answer yet.
+	RS_RUNNING = 2,   ///< Confirmed by the box.
 	RS_RESTORED = 3,  ///< Recorded by an earlier owner: it may run, or an order may be under way.
-	RS_UNKNOWN = 4,   ///< The order got no answer.
+	RS_UNKNOWN = 4,   ///< The start order got no answer.
 };
 
-inline constexpr int64_t FULL_PACE = 100; ///< Percent at which a run works and disturbs others unless told otherwise.
+inline constexpr int64_t FULL_PACE = 100; ///< Pace of a run in percent, unless ordered otherwise.
 
-/** A task with what is known of its run. */
+/** A task and the state of its current run. */
 struct ShardTask : public StoredTask {
-	RunState run_state = RunState::RS_RECORDING; ///< Of the current run, while placed.
-	bool uncertain = false;                      ///< An order for the run got no answer: it may still be carried out.
-	bool stop_wanted = false;                    ///< The run is to be stopped.
-	bool stop_recorded = false;                  ///< `leaving` is recorded: its stop may be sent.
-	bool stop_sent = false;                      ///< A stop is under way.
-	bool stop_confirmed = false;                 ///< The box has confirmed the stop: it can't start any more.
-	Millis settled_at;                           ///< When the newest order for the run was answered.
-	Millis since;                                ///< When it was placed, or began to wait.
-	bool at_work = false;                        ///< The box lists it at full pace.
-	int64_t pace = FULL_PACE;                    ///< Percent of full pace last ordered.
-	Millis ordered_at;                           ///< When the first order for the run was sent.
-	/** A box crashed just after it had begun the task. Not stored: a new owner goes by `crashes`. */
+	RunState run_state = RunState::RS_RECORDING; ///< State of the current run, while placed.
+	bool uncertain = false;      ///< A start order for the run got no answer: it may still be carried out.
+	bool stop_wanted = false;    ///< The run is to be stopped.
+	bool stop_recorded = false;  ///< `leaving` is recorded: the stop order may be sent.
+	bool stop_sent = false;      ///< A stop order is under way.
+	bool stop_confirmed = false; ///< The box has confirmed the stop: the run can't start any more.
+	Millis settled_at;           ///< When the newest order for the run was answered.
+	Millis since;                ///< When it was placed or started to wait.
+	bool at_work = false;        ///< The box lists the run at full pace.
+	int64_t pace = FULL_PACE;    ///< Pace last ordered, in percent.
+	Millis ordered_at;           ///< When the first start order for the run was sent.
+	/** Suspected of crashing boxes: a box crashed just after it had started the task. Not stored: a new owner derives
+	 * it from `crashes`. */
 	bool suspect = false;
-	/** A box crashed when the task's job was the only one that had just begun there. Not stored either. */
+	/** Isolated crash cause: a box crashed when the task's job was the only one that had just started there. Not stored
+	 * either. */
 	bool crash_cause = false;
-	uint64_t listed_by = 0; ///< Number of the newest look whose list had the current run.
+	uint64_t listed_by = 0; ///< Number of the newest answered lease order whose list had the current run.
 };
 
-/** What a job's waiting tasks ask for, worked out when its tasks change. */
+/** Figures derived from the state of a job's tasks. */
 struct JobOutlook {
-	bool stale = true;       ///< Its tasks or its route have changed since.
-	Millis made_at;          ///< When it was worked out: due times and learned run times change by themselves.
-	double chain_all = 0;    ///< ms that its longest chain of steps takes.
-	double chain_left = 0;   ///< The same of the steps that have tasks left.
-	double waiting_work = 0; ///< Thousandths of a core times ms of its waiting tasks.
-	Resources ready;         ///< What its waiting tasks ask for whose turn has come.
-	bool lasting = false;    ///< Whether it has tasks that last.
+	bool stale = true;    ///< The job's tasks or route have changed since.
+	Millis made_at;       ///< When it was computed: occurrences come due and learned run times change without an event.
+	double chain_all = 0; ///< Run time of the longest chain of steps, in ms.
+	double chain_left = 0;   ///< The same for steps that have unfinished tasks.
+	double waiting_work = 0; ///< Work of waiting tasks, in thousandths of a core times ms.
+	Resources ready;         ///< Total demand of ready tasks.
+	bool lasting = false;    ///< Whether the job has lasting tasks.
 };
 
 /** A job with its tasks. */
 struct ShardJob {
-	JobSpec spec;                                 ///< As handed in.
-	JobPhase phase = JobPhase::JP_QUEUED;         ///< Where it stands.
-	JobPhase durable_phase = JobPhase::JP_QUEUED; ///< What is recorded: others are told only this.
+	JobSpec spec;                                 ///< The job as submitted.
+	JobPhase phase = JobPhase::JP_QUEUED;         ///< Current phase.
+	JobPhase durable_phase = JobPhase::JP_QUEUED; ///< Recorded phase; only this one is reported.
 	std::vector<ShardTask> tasks;                 ///< By occurrence, step, index.
-	uint64_t revision = 0;                        ///< Of its last record.
-	bool recorded = false;                        ///< Whether the log has it: otherwise it may still be refused.
-	/** Whether a box is known to have begun a run. A job whose tasks are placed still waits while their orders do: an
-	 * owner short of processor time told 2 of 24 that had waited for 5 s. */
+	uint64_t revision = 0;                        ///< Revision of the newest record.
+	bool recorded = false; ///< Whether the log has the submission; otherwise it may still be refused.
+	/** Whether a box is known to have started a run. A job whose tasks are placed still counts as waiting while their
+	 * start orders are queued: otherwise an owner short of processor time reported only 2 of 24 jobs that had waited
+	 * for 5 s. */
 	bool begun = false;
-	JobOutlook outlook;                 ///< What its waiting tasks ask for.
-	std::vector<uint32_t> step_offsets; ///< Where each step begins within an occurrence.
-	uint32_t per_occurrence = 0;        ///< Tasks of an occurrence.
-	Millis taken_at;                    ///< When this owner learned of it.
+	JobOutlook outlook;                 ///< Figures derived from the tasks.
+	std::vector<uint32_t> step_offsets; ///< Index of the first task of each step within an occurrence.
+	uint32_t per_occurrence = 0;        ///< Tasks per occurrence.
+	Millis taken_at;                    ///< When this owner learned of the job.
 	JobRoute route;                     ///< Its route, as last configured.
 
-	/** @return Whether nothing more is to be started. */
+	/** @return Whether the job has completed, failed or been cancelled. */
 	[[nodiscard]] bool Over() const { return this->phase > JobPhase::JP_RUNNING; }
-	/** @return Place of a task in `tasks`. */
+	/** @return Index of a task in `tasks`. */
 	[[nodiscard]] size_t IndexOf(const TaskId &task) const
 	{
 		return size_t{task.occurrence} * this->per_occurrence + this->step_offsets[task.step] + task.index;
 	}
-	/** @return Whether a task exists. */
+	/** @return Whether the job has this task. */
 	[[nodiscard]] bool Has(const TaskId &task) const;
-	/** @return The task at a place in `tasks`. */
+	/** @return Id of the task at an index in `tasks`. */
 	[[nodiscard]] TaskId TaskAt(size_t place) const;
 };
 
-/** Jobs by id. A job stays where it is in memory. */
+/** Jobs by id. References to a job stay valid until it is erased. */
 using ShardJobs = std::unordered_map<JobId, ShardJob, JobIdHash>;
 
-/** A box of the service. */
+/** One incarnation of a box of the service. */
 struct ShardBox {
-	BoxReport report;                     ///< What its agent says of itself.
-	FenceToken fence;                     ///< Token of orders to this life: see Shard::NextFence().
-	bool listed = true;                   ///< Whether its report stands.
-	bool adopted = false;                 ///< It has answered this owner: orders of earlier owners can't come any more.
-	bool asking = false;                  ///< A lease order is under way.
-	bool unreachable = false;             ///< It can't be reached, or two orders in a row got no answer.
-	uint32_t unanswered = 0;              ///< Orders without an answer since the last answer.
-	Millis unanswered_at{-1000000};       ///< When the last order without an answer was given up.
-	Millis unanswered_again_at{-1000000}; ///< When that last happened twice within a short time.
-	bool over = false;                    ///< This life has ended for certain; what is placed there is held.
-	bool has_successor = false;           ///< Its agent is known to run again under its id.
-	bool has_predecessor = false;         ///< Another life had its id before: orders to that one may have come here.
-	std::optional<Millis> clock;          ///< Its clock at `clock_at`.
-	Millis clock_at;                      ///< When `clock` was heard.
-	Millis lapse_at;                      ///< From then on no lease can hold there any more, by our clock.
-	Millis asked_at;                      ///< When the last lease order was sent.
-	Millis wait;                          ///< So long its answer may wait for an end.
-	Millis answered_at;                   ///< When the last answer to any order came.
-	Millis listed_at;                     ///< When it last listed its runs.
-	Millis avoid_until;                   ///< Nothing is placed there before.
-	/** An order to it got no answer since it last listed its runs: its agent may have started again. */
+	BoxReport report;         ///< Newest report of its agent.
+	FenceToken fence;         ///< Token of orders to this incarnation: see Shard::NextFence().
+	bool listed = true;       ///< Whether its report exists.
+	bool adopted = false;     ///< It has answered this owner, so orders of earlier owners are refused from then on.
+	bool asking = false;      ///< A lease order is under way.
+	bool unreachable = false; ///< It can't be reached, or two orders in a row got no answer.
+	uint32_t unanswered = 0;  ///< Orders without an answer since the last answer.
+	Millis unanswered_at{-1000000};       ///< When the last order without an answer timed out.
+	Millis unanswered_again_at{-1000000}; ///< When an order last timed out soon after another one.
+	bool over = false; ///< This incarnation has certainly ended; runs that its successor may still start are held.
+	bool has_successor = false;   ///< Its agent is known to have restarted under the same id.
+	bool has_predecessor = false; ///< An earlier incarnation had its id, so it may have received orders to that one.
+	std::optional<Millis> clock;  ///< Its clock at `clock_at`.
+	Millis clock_at;              ///< When `clock` was reported.
+	Millis lapse_at;              ///< Time by the owner's clock at which every lease on the box has expired.
+	Millis asked_at;              ///< When the last lease order was sent.
+	Millis wait;                  ///< How long its answer to the lease order may be held back.
+	Millis answered_at;           ///< When the last answer to any order arrived.
+	Millis listed_at;             ///< When it last listed its runs.
+	Millis avoid_until;           ///< No task is placed there before this time.
+	/** An order got no answer since the box last listed its runs: its agent may have restarted. */
 	bool may_have_restarted = false;
-	uint64_t ends_seen = 0;         ///< Ends up to this number are taken in.
+	uint64_t ends_seen = 0;         ///< Ends up to this number have been processed.
 	uint64_t ends_durable = 0;      ///< Ends up to this number are recorded.
-	uint64_t ends_acknowledged = 0; ///< Ends up to this number, the box has heard, are recorded.
-	Millis planned_until;           ///< Until then its end may be our own order, done late.
-	Millis drain_until;             ///< Until then it is being emptied for planned work.
-	Millis drain_since;             ///< When that began.
-	bool due = false;               ///< It will be emptied before long.
-	bool unknown_runs = false;      ///< It runs something that this shard has not placed.
-	Resources used;                 ///< Taken by the tasks placed there.
-	JobId last_start;               ///< Job of which a task was placed or started there last,
-	Millis last_start_at{-1000000}; ///< and when.
+	uint64_t ends_acknowledged = 0; ///< Ends up to this number were acknowledged to the box.
+	Millis planned_until;           ///< Until then its end may be due to a late order of our own.
+	Millis drain_until;             ///< Until then it is drained for planned maintenance.
+	Millis drain_since;             ///< When the drain started.
+	bool due = false;               ///< It will be drained soon.
+	bool unknown_runs = false;      ///< It lists runs that this shard has not placed there.
+	Resources used;                 ///< Resources of the tasks placed there.
+	JobId last_start;               ///< Job of the task placed or started there last.
+	Millis last_start_at{-1000000}; ///< When that was.
 	std::set<TaskId> placed;        ///< Tasks placed there.
-	/** Those of them that were suspects when they were placed: rounds look at these alone, since a look at each task
-	 * placed grows with boxes times rounds. */
+	/** Those of them that were suspects when they were placed. Kept apart, since checking every placed task in each
+	 * round costs too much with many boxes. */
 	std::set<TaskId> suspects;
-	TimerId timer; ///< Next lease order.
+	TimerId timer; ///< Next lease renewal.
 };
 
-/** An order to a box that is under way: who it was meant for, and what was known then. */
+/** Context of an order that is under way to a box, as of when it was sent. */
 struct SentOrder {
-	BoxIncarnation incarnation;  ///< The life that it was sent to.
-	FenceToken fence;            ///< Its token.
-	Millis at;                   ///< When.
-	std::optional<Millis> clock; ///< The life's clock told last by then: it never goes back.
+	BoxIncarnation incarnation;  ///< Incarnation that it was sent to.
+	FenceToken fence;            ///< Token of the order.
+	Millis at;                   ///< When it was sent.
+	std::optional<Millis> clock; ///< Clock of the incarnation as last reported; it never goes backwards.
 };
 
-/** What a job can still be, in the order in which jobs are served. */
+/** Whether a job can still meet its objective, in the order in which jobs are served. */
 enum class JobTimeliness : uint8_t {
-	JT_LASTING = 0,  ///< Its tasks last: they are to run at all times.
+	JT_LASTING = 0,  ///< It has lasting tasks, which should always run.
 	JT_ON_TIME = 1,  ///< It can still end within its objective.
-	JT_LATE = 2,     ///< It will be late, but is still worth something.
-	JT_TOO_LATE = 3, ///< Nobody gains by its end any more; it is done when there is room.
+	JT_LATE = 2,     ///< It will be late but is still worth something to its caller.
+	JT_TOO_LATE = 3, ///< Its result is worth nothing any more; it runs when there is room.
 };
 
-/** Place of a job in the order: smaller ones first among equals, since they earn more for the room they take. */
+/** Sort key of jobs. Among equals, less waiting work comes first: such jobs are worth more per resource used. */
 struct JobRank {
-	int64_t priority = 0;                                 ///< Of its route.
-	JobTimeliness timeliness = JobTimeliness::JT_ON_TIME; ///< What it can still be.
-	/** Whether its account has as much as its share of the boxes already, while not all find room. */
+	int64_t priority = 0;                                 ///< Priority of its route.
+	JobTimeliness timeliness = JobTimeliness::JT_ON_TIME; ///< Whether it can meet its objective.
+	/** Whether its account already uses its share of the boxes while the waiting tasks don't all fit. */
 	bool beyond_share = false;
-	double waiting_work = 0; ///< Thousandths of a core times ms of its waiting tasks.
+	double waiting_work = 0; ///< Work of waiting tasks, in thousandths of a core times ms.
 
 	auto operator<=>(const JobRank &) const = default;
 };
 
-/** What tells that a box has crashed under its runs, rather than left, been taken down, or been cut off. */
+/** How certain it is that a box crashed, rather than left, was taken down or lost its connection. */
 enum class CrashEvidence : uint8_t {
 	CE_NONE = 0,     ///< It has left or was taken down.
 	CE_POSSIBLE = 1, ///< It may have crashed.
 	CE_CERTAIN = 2,  ///< It has crashed.
 };
 
-/** How a task is started, by what is known of boxes that have crashed under it. */
+/** How a task is started, depending on crashes of boxes that ran it. */
 enum class StartKind : uint8_t {
-	SK_PLAIN = 0,       ///< Like others.
-	SK_SUSPECT = 1,     ///< Nothing else starts beside it.
-	SK_CRASH_CAUSE = 2, ///< On the box that is kept for such tasks.
+	SK_PLAIN = 0,       ///< Without restrictions.
+	SK_SUSPECT = 1,     ///< Isolated: no other job's task starts beside it.
+	SK_CRASH_CAUSE = 2, ///< On the quarantine box.
 };
 
-/** A box that takes tasks in this round of placing. */
+/** A box that accepts tasks in the current placement round. */
 struct OpenBox {
 	ShardBox *box = nullptr; ///< The box.
-	std::optional<JobId>
-			isolated_job; ///< Job of which a suspect task has just begun there: nothing else starts beside it.
-	/** Job of which a task has just begun there, while tasks crash boxes: those of others wait for a moment, so that a
-	 * crash names one job. */
+	/** Job of which a suspect has just started there: no other job's task starts beside it. */
+	std::optional<JobId> isolated_job;
+	/** Job of which a task has just started there, while starts are spaced: tasks of other jobs wait a moment, so that
+	 * a crash can be attributed to one job. */
 	std::optional<JobId> recent_start;
-	bool quarantine_box = false; ///< Only blamed tasks start there: it is kept for them, and empty.
-	Resources free;              ///< What is left there.
-	uint32_t picked = 0;         ///< Tasks of the gang at hand that were chosen for it but not assigned yet.
+	bool quarantine_box = false; ///< Only isolated crash causes start there; it is kept empty for them.
+	Resources free;              ///< Resources left.
+	uint32_t picked = 0;         ///< Tasks of the current gang chosen for it but not assigned yet.
 };
 
-/** One round of placing: what has room, and what was found to fit nowhere. */
+/** State of one placement round. */
 struct PlaceRound {
-	std::vector<OpenBox> open;          ///< Boxes that take tasks.
-	bool quarantine_box = false;        ///< Whether one of them is the trial box.
-	std::vector<Resources> unplaceable; ///< Demands that no box has room for. Room only shrinks within a round.
+	std::vector<OpenBox> open;          ///< Boxes that accept tasks.
+	bool quarantine_box = false;        ///< Whether one of them is the quarantine box.
+	std::vector<Resources> unplaceable; ///< Demands that fit on no box; free resources only shrink within a round.
 
-	/** @return Whether a demand is known to fit nowhere. @param demand It. */
+	/** @return Whether a demand is known to fit on no box. @param demand Resources of a task. */
 	[[nodiscard]] bool FitsNowhere(const Resources &demand) const;
 };
 
-/** A box as its pool's owner sees it. */
+/** Status of a box, as reported by the owner of its pool. */
 struct PoolBox {
-	BoxName box;                ///< The box.
-	BoxIncarnation incarnation; ///< Its life.
+	BoxName box;                ///< Name of the box.
+	BoxIncarnation incarnation; ///< Its current incarnation.
 	uint32_t tasks = 0;         ///< Tasks placed there.
-	int64_t used_cpu = 0;       ///< Thousandths of a core taken.
-	int64_t cpu = 0;            ///< Thousandths of a core that it has.
-	bool placing = false;       ///< Whether tasks may be placed there.
-	int64_t late_cpu = 0;       ///< The part of `used_cpu` that is taken by jobs that can't be on time any more.
+	int64_t used_cpu = 0;       ///< Thousandths of a core in use.
+	int64_t cpu = 0;            ///< Thousandths of a core in total.
+	bool placing = false;       ///< Whether it accepts tasks.
+	int64_t late_cpu = 0;       ///< Part of `used_cpu` used by jobs that can't be on time any more.
 };
 
-/** How a pool stands. */
+/** Status of a pool. */
 struct PoolStatus {
-	std::vector<PoolBox> boxes; ///< Its boxes.
-	/** Thousandths of a core that waiting tasks ask for, whose turn has come and for which their accounts have room. */
+	std::vector<PoolBox> boxes; ///< Boxes of the pool.
+	/** Thousandths of a core demanded by ready tasks, as far as their accounts' maxima have room for them. */
 	int64_t waiting_cpu = 0;
-	int64_t late_cpu = 0; ///< The same of jobs that can't be on time any more; not in `waiting_cpu`.
-	ShareReport shares;   ///< What accounts hold and want of their maxima.
+	int64_t late_cpu = 0; ///< The same for jobs that can't be on time any more; not included in `waiting_cpu`.
+	ShareReport shares;   ///< Use and demand of accounts under their maxima.
 };
 
-/** A submission or cancellation that a caller waits for. */
+/** A submission or cancellation whose caller waits for the answer. */
 struct IncomingRecord {
-	KeyedRecord record;                   ///< What is to be recorded, under its key in the shard's partition.
-	std::optional<JobSpec> spec;          ///< The job; none for a cancellation.
-	InboxKey name;                        ///< What it is about.
-	std::function<void(ResultCode)> done; ///< Gets RC_OK once it is durable, RC_LOG_UNAVAILABLE when it never will be,
-										  ///< RC_OUTCOME_UNKNOWN when an earlier one of the same may be.
+	KeyedRecord record;                   ///< Record to append, under its key in the shard's progress partition.
+	std::optional<JobSpec> spec;          ///< The job; unset for a cancellation.
+	InboxKey inbox_key;                   ///< Decoded key of the record.
+	std::function<void(ResultCode)> done; ///< Called with RC_OK once the record is durable, RC_LOG_UNAVAILABLE when it
+										  ///< never will be, RC_OUTCOME_UNKNOWN when an earlier equal one may be.
 };
 
-/** Answer about a job. */
+/** Status of a job, as reported to callers. */
 struct JobView {
-	bool known = false;                   ///< Whether there is such a job.
-	JobPhase phase = JobPhase::JP_QUEUED; ///< Where it stands, as recorded.
-	AccountName account;                  ///< Client account that handed it in.
+	bool known = false;                   ///< Whether the job is known.
+	JobPhase phase = JobPhase::JP_QUEUED; ///< Recorded phase.
+	AccountName account;                  ///< Client account that submitted it.
 };
 
 #endif /* SHARD_TYPE_H */
--- a/src/jobs/ticket_cache.h
+++ b/src/jobs/ticket_cache.h
@@ -1,4 +1,4 @@
-/** @file ticket_cache.h Tickets that a route's policy gives: which boxes may run a step. */
+/** @file ticket_cache.h Tickets of the placement policy, which allow a box to run a step. */
 #ifndef TICKET_CACHE_H
 #define TICKET_CACHE_H
 
@@ -12,37 +12,38 @@
 
 /** A step of one occurrence of a job. */
 struct StepId {
-	JobId job;               ///< The job.
-	uint32_t occurrence = 0; ///< Which time.
-	uint32_t step = 0;       ///< Which step.
+	JobId job;               ///< Id of the job.
+	uint32_t occurrence = 0; ///< Index of the occurrence.
+	uint32_t step = 0;       ///< Index of the step.
 
 	auto operator<=>(const StepId &) const = default;
 };
 
-/** What the policy says. */
+/** Answer of the placement policy. */
 struct Advice {
-	ResultCode code = ResultCode::RC_PEER_UNAVAILABLE; ///< RC_OK, or the policy was not heard.
-	std::map<BoxIncarnation, std::string> tickets;     ///< For the boxes that may run the step.
-	Millis valid;                                      ///< How long the tickets hold from the answer on.
+	ResultCode code = ResultCode::RC_PEER_UNAVAILABLE; ///< RC_OK, or why there is no answer.
+	std::map<BoxIncarnation, std::string> tickets;     ///< Tickets of the boxes that may run the step.
+	Millis valid;                                      ///< How long the tickets are valid, counted from the answer.
 };
 
-/** The service that knows the policy. */
+/** Client of the service that decides on placement policies. */
 class PlacementAdvisor {
 public:
 	virtual ~PlacementAdvisor() = default;
-	/** Asks. @param step What is to run. @param boxes Where it could run. @param done Gets the answer, later. */
+	/** Requests tickets. @param step Step to run. @param boxes Boxes that could run it. @param done Called later with
+	 * the answer. */
 	virtual void Ask(const StepId &step, const std::vector<BoxIncarnation> &boxes,
 					 std::function<void(Advice)> done) = 0;
 };
 
-/** Keeps the tickets of a shard's steps, and asks for those that are missing. Tickets aren't stored: a new owner asks
- * anew. */
+/** Caches the tickets of a shard's steps and requests missing ones. Tickets aren't recorded: a new owner requests them
+ * again. */
 class TicketCache {
 public:
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param events Lines; outlives this.
-	 * @param advisor The policy's service, or null when there is none; outlives this.
+	 * @param events Event log; must outlive this object.
+	 * @param advisor Client of the placement policy, or null when there is none; must outlive this object.
 	 */
 	TicketCache(Scheduler &scheduler, EventLog &events, PlacementAdvisor *advisor)
 			: scheduler(scheduler), events(events), advisor(advisor)
@@ -52,40 +53,40 @@
 	TicketCache(const TicketCache &) = delete;
 	TicketCache &operator=(const TicketCache &) = delete;
 
-	/** @return The ticket for a step on a box, or null when there is none that still holds. @param step The step.
-	 * @param life The box. */
+	/** @return The ticket for a step on a box, or null when there is no valid one. @param step The step. @param
+	 * incarnation Incarnation of the box. */
 	[[nodiscard]] const std::string *Find(const StepId &step, const BoxIncarnation &incarnation) const;
-	/** Asks about boxes for a step, unless that is known or being asked. @param step The step. @param boxes Boxes that
-	 * could run it, the best first. @param wanted Boxes that are needed. */
+	/** Requests tickets for a step, unless the answer is known or a request is under way. @param step The step. @param
+	 * boxes Boxes that could run it, the best first. @param wanted Number of boxes needed. */
 	void Request(const StepId &step, const std::vector<BoxIncarnation> &boxes, size_t wanted);
-	/** A ticket was refused. @param step The step. @param life The box. */
+	/** Drops a ticket that a box has refused. @param step The step. @param incarnation Incarnation of the box. */
 	void Drop(const StepId &step, const BoxIncarnation &incarnation);
-	/** Forgets the tickets of a job. @param job The job. */
+	/** Drops the tickets of a job. @param job Id of the job. */
 	void Forget(const JobId &job);
 
-	std::function<void()> on_tickets; ///< Told when tickets have come.
+	std::function<void()> on_tickets; ///< Called when tickets have arrived.
 
 private:
 	/** A ticket. */
 	struct Ticket {
-		std::string text; ///< What the box wants to see.
-		Millis until;     ///< It is used until then.
+		std::string text; ///< Ticket as sent to the box.
+		Millis until;     ///< Not used from this time on.
 	};
 
-	/** What is known of a step. */
+	/** Tickets and refusals of a step. */
 	struct Known {
-		std::map<BoxIncarnation, Ticket> tickets; ///< Boxes that may run it.
-		std::set<BoxIncarnation> refused;         ///< Boxes that may not: that doesn't change.
-		bool asking = false;                      ///< Whether a question is under way.
+		std::map<BoxIncarnation, Ticket> tickets; ///< Tickets of boxes that may run it.
+		std::set<BoxIncarnation> refused;         ///< Boxes that may not run it; the policy never changes its answer.
+		bool asking = false;                      ///< Whether a request is under way.
 	};
 
 	Scheduler &scheduler;                                       ///< Clock and timers.
-	EventLog &events;                                           ///< Lines.
-	PlacementAdvisor *advisor;                                  ///< The policy's service.
-	std::map<StepId, Known> steps;                              ///< What is known.
-	size_t under_way = 0;                                       ///< Questions under way.
-	TimerId retry;                                              ///< Next try after a failure.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	EventLog &events;                                           ///< Event log.
+	PlacementAdvisor *advisor;                                  ///< Client of the placement policy.
+	std::map<StepId, Known> steps;                              ///< Tickets and refusals by step.
+	size_t under_way = 0;                                       ///< Number of requests under way.
+	TimerId retry;                                              ///< Next attempt after a failed request.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this object.
 
 	void OnAdvice(const StepId &step, const std::vector<BoxIncarnation> &asked, Millis sent, const Advice &advice);
 };
