--- a/src/jobs/shard_base.h
+++ b/src/jobs/shard_base.h
@@ -161,8 +161,8 @@
 	std::set<std::pair<JobId, AccountName>> cancelled; ///< Cancellations by caller, also of jobs that haven't arrived.
 	AccountBook book;                                  ///< Resources that accounts use here.
 	std::map<BoxIncarnation, ShardBox> boxes;          ///< Boxes of the service.
-	std::map<BoxIncarnation, BoxReport>
-			removed_reports;                  ///< Last reports of incarnations whose report was removed; until Begin().
+	/** Last reports of incarnations whose report was removed; used until Begin(). */
+	std::map<BoxIncarnation, BoxReport> removed_reports;
 	Millis order_unanswered_at{-1000000};     ///< When a box was last found running after an order without an answer.
 	std::set<BoxId> held;                     ///< Ids whose next incarnation may carry out orders to the previous one.
 	std::map<BoxId, BoxReport> older_reports; ///< Reports of incarnations that started before a known one.
--- a/src/jobs/shard_boxes.cpp
+++ b/src/jobs/shard_boxes.cpp
@@ -183,8 +183,8 @@
 		const StepSpec &step = job.spec.steps[id.step];
 		const ShardTask &task = job.tasks[job.IndexOf(id)];
 		if (!step.lasting) {
-			const Millis begun = task.run_state == RunState::RS_RECORDING ? now : task.ordered_at;
-			sum += begun.Value() + static_cast<int64_t>(this->RunTimeOf(job, step));
+			const Millis started = task.run_state == RunState::RS_RECORDING ? now : task.ordered_at;
+			sum += started.Value() + static_cast<int64_t>(this->RunTimeOf(job, step));
 			n++;
 		}
 	}
--- a/src/jobs/shard_crashes.cpp
+++ b/src/jobs/shard_crashes.cpp
@@ -185,8 +185,8 @@
 		/* A first start without an answer was mostly sent to a box that another task had crashed, so it isn't counted.
 		 * One recorded by an earlier owner is counted; otherwise nodes that fail one after another would hide as many
 		 * crashes. */
-		const bool attributed = !had_started && !restored && others && !was_suspect;
-		task.crashes_possible += attributed ? 0 : 1;
+		const bool explained_by_others = !had_started && !restored && others && !was_suspect;
+		task.crashes_possible += explained_by_others ? 0 : 1;
 		return GivesUp(job, id, false);
 	}
 	task.crashes++;
--- a/src/jobs/shard_place.cpp
+++ b/src/jobs/shard_place.cpp
@@ -100,7 +100,7 @@
 		return it.free.Holds(step.demand) &&
 			   (step.required_label.empty() || it.box->report.HasLabel(step.required_label));
 	});
-	/* Same order as in Choose(): boxes near the data first, then the fullest. */
+	/* Same order as in ChooseBox(): boxes near the data first, then the fullest. */
 	std::ranges::stable_sort(candidates, std::ranges::greater{}, [&step](const OpenBox &it) {
 		return std::tuple(!step.data_rack.empty() && it.box->report.HasLabel(step.data_rack), -it.free.cpu);
 	});
