--- a/src/jobs/job_config.cpp
+++ b/src/jobs/job_config.cpp
@@ -1,4 +1,4 @@
-/** @file job_config.cpp Look-ups in the configuration and in boxes' reports, and the words of logs. */
+/** @file job_config.cpp Lookups in the configuration and in boxes' reports, and names shown in logs. */
 #include "job_type.h"
 
 #include <algorithm>
@@ -43,7 +43,7 @@
 	return std::ranges::find(this->labels, label) != this->labels.end();
 }
 
-std::string LifeText(const BoxIncarnation &incarnation)
+std::string IncarnationText(const BoxIncarnation &incarnation)
 {
 	return incarnation.started == Millis(0)
 				   ? incarnation.id.Value()
--- /dev/null
+++ b/src/jobs/shard_incarnations.cpp
@@ -0,0 +1,184 @@
+/** @file shard_incarnations.cpp Shard: ended incarnations of boxes and their runs.
+ *
+ * A box's agent may restart under the same id. Orders name only the id, so an order meant for the previous incarnation
+ * may be carried out by the next one, even seconds later. A run whose order may still arrive is held: its task starts
+ * nowhere else until the next incarnation has listed its runs or the order can't arrive any more. */
+#include "shard_base.h"
+
+#include <algorithm>
+#include <ranges>
+#include <utility>
+
+namespace {
+
+/** An order without an answer may be carried out up to 12 s after it was sent (platform documentation on faults), and
+ * start orders are retried for 2 s. */
+constexpr Millis ORDER_DELAY_MAX(14000);
+
+/** Number of tokens per ownership; keeps the tokens of the next ownership higher. */
+constexpr uint64_t TOKENS_PER_OWNERSHIP = 1ULL << 20U;
+
+} // namespace
+
+FenceToken Shard::NextFence()
+{
+	/* Each incarnation gets a higher token than earlier ones: once it has seen that token, it refuses orders meant for
+	 * the previous incarnation under the same id. */
+	this->incarnations_seen = std::min(this->incarnations_seen + 1, TOKENS_PER_OWNERSHIP - 1);
+	return FenceToken(this->fence.Value() * TOKENS_PER_OWNERSHIP + this->incarnations_seen);
+}
+
+std::vector<ShardBox *> Shard::IncarnationsOf(const BoxId &id)
+{
+	std::vector<ShardBox *> out;
+	for (auto it = this->boxes.lower_bound(BoxIncarnation{id, Millis(0)});
+		 it != this->boxes.end() && it->first.id == id; ++it) {
+		out.push_back(&it->second);
+	}
+	return out;
+}
+
+void Shard::EndOtherIncarnations(ShardBox &current)
+{
+	for (ShardBox *box : this->IncarnationsOf(current.report.incarnation.id)) {
+		if (box == &current) {
+			continue;
+		}
+		if (!std::exchange(current.has_predecessor, true)) {
+			this->NoteLongestLease(current);
+		}
+		box->has_successor = true;
+		this->EndIncarnation(*box, "started_again");
+		box->listed = false; /* Its report was replaced. */
+	}
+}
+
+void Shard::EndIncarnation(ShardBox &box, const char *reason)
+{
+	if (box.over) {
+		return;
+	}
+	box.over = true;
+	this->counters.restarted += box.has_successor ? 1 : 0;
+	this->scheduler.Cancel(box.timer);
+	this->log.Write("box_over", {{"life", IncarnationText(box.report.incarnation)},
+								 {"why", reason},
+								 {"placed", std::to_string(box.placed.size())},
+								 {"clock", std::to_string(box.clock.value_or(Millis(-1)).Value())},
+								 {"ends_noted", std::to_string(box.ends_durable)}});
+	this->LoseBox(box, reason, this->EvidenceOf(box));
+	if (!box.placed.empty()) {
+		this->held.insert(box.report.incarnation.id);
+	}
+	this->ScheduleTurn();
+	if (const auto older = this->older_reports.extract(box.report.incarnation.id); !older.empty()) {
+		this->OnReport(older.mapped());
+	}
+}
+
+void Shard::NoteEnded(const std::set<BoxIncarnation> &incarnations)
+{
+	for (const BoxIncarnation &incarnation : incarnations) {
+		if (const auto it = this->boxes.find(incarnation); it != this->boxes.end()) {
+			this->EndIncarnation(it->second, "machine_down");
+		}
+	}
+}
+
+bool Shard::MayStillArrive(const ShardBox &box, const ShardTask &task) const
+{
+	const Millis now = this->scheduler.Now();
+	/* Orders that a box had received are lost with it. Only an order in transit can reach the next incarnation: one
+	 * that was sent after that one started or, if boxes that keep running leave orders unanswered, also an earlier one.
+	 */
+	const bool restored = task.run_state == RunState::RS_RESTORED;
+	const bool may_arrive = box.has_successor || restored || now - this->order_unanswered_at < ORDER_DELAY_MAX;
+	const bool recorded_only = task.run_state == RunState::RS_RECORDING;
+	const bool answered = task.run_state == RunState::RS_RUNNING && !task.uncertain;
+	return may_arrive && !recorded_only && !answered && now - task.ordered_at < ORDER_DELAY_MAX;
+}
+
+void Shard::ResolveLostRuns(ShardBox &box, const char *reason)
+{
+	for (const TaskId &id : std::set<TaskId>(box.placed)) {
+		if (!box.over || !this->MayStillArrive(box, *this->FindTask(id))) {
+			this->EndRun(id, RunEnding::RE_LAPSED, {}, reason);
+		}
+	}
+}
+
+void Shard::LoseBox(ShardBox &box, const char *reason, CrashEvidence evidence)
+{
+	/* Evaluate all tasks before any of them is removed from the box. */
+	std::set<JobId> confirmed;
+	for (const TaskId &id : box.placed) {
+		if (this->NoteCrash(box, id, evidence)) {
+			confirmed.insert(id.job);
+		}
+	}
+	this->ResolveLostRuns(box, reason);
+	for (const JobId &id : confirmed) {
+		if (ShardJob &job = this->jobs.at(id); !job.Over()) {
+			this->counters.given_up++;
+			this->EndJob(job, JobPhase::JP_FAILED, "crashes_boxes");
+		}
+	}
+}
+
+bool Shard::HoldsRuns(const BoxId &id)
+{
+	return std::ranges::any_of(this->IncarnationsOf(id),
+							   [](const ShardBox *it) { return it->over && !it->placed.empty(); });
+}
+
+void Shard::ResolveHeldRuns(const BoxId &id, const char *reason)
+{
+	if (this->held.erase(id) == 0) {
+		return;
+	}
+	for (ShardBox *box : this->IncarnationsOf(id)) {
+		for (const TaskId &task : box->over ? std::set<TaskId>(box->placed) : std::set<TaskId>()) {
+			this->EndRun(task, RunEnding::RE_LAPSED, {}, reason);
+		}
+	}
+}
+
+void Shard::NoteOtherId(const BoxReport &report)
+{
+	/* A machine has one agent, so nobody answers under its earlier ids. */
+	for (const BoxId &id : std::set<BoxId>(this->held)) {
+		const std::vector<ShardBox *> incarnations = this->IncarnationsOf(id);
+		const bool here = std::ranges::any_of(
+				incarnations, [&report](const ShardBox *it) { return it->over && it->report.box == report.box; });
+		if (id != report.incarnation.id && here) {
+			this->ResolveHeldRuns(id, "other_id");
+		}
+	}
+}
+
+bool Shard::ClaimRun(ShardBox &box, const TaskId &id, ShardTask &task, RunNumber run)
+{
+	if (task.phase != TaskPhase::TP_PLACED || task.run != run) {
+		return false;
+	}
+	if (task.box == box.report.incarnation) {
+		return true;
+	}
+	const auto before = this->boxes.find(task.box);
+	if (task.box.id != box.report.incarnation.id || before == this->boxes.end() || !before->second.over) {
+		return false;
+	}
+	/* The order was meant for the previous incarnation, but this one has carried it out. */
+	ShardJob &job = this->jobs.at(id.job);
+	this->log.Write("run_inherited", {{"job", id.job.Value()},
+									  {"task", std::to_string(job.IndexOf(id))},
+									  {"run", std::to_string(run.Value())},
+									  {"from", IncarnationText(task.box)},
+									  {"to", IncarnationText(box.report.incarnation)}});
+	this->counters.inherited++;
+	this->RemoveFromBox(before->second, job, id);
+	task.box = box.report.incarnation;
+	this->AddToBox(box, job, id);
+	this->MarkDirty(id.job);
+	return true;
+}
--- a/src/jobs/shard_jobs.cpp
+++ b/src/jobs/shard_jobs.cpp
@@ -1,4 +1,4 @@
-/** @file shard_jobs.cpp Shard: jobs come and end. */
+/** @file shard_jobs.cpp Shard: submission, cancellation and completion of jobs, and the turns of the scheduler. */
 #include "shard_base.h"
 
 #include <algorithm>
@@ -7,12 +7,15 @@
 
 namespace {
 
-constexpr Millis TICK(500); ///< Turn without an event: lapsed leases and boxes to be tried again are noticed so late.
-/** Turns go through all boxes so often at most: there are some hundred turns a second, and what they look for (leases
- * that lapsed, boxes to be emptied) can wait for so long. */
-constexpr Millis SEE_TO_BOXES(50);
-constexpr double LATE_WEIGHT = 0.3; ///< Of the newest turn in how late turns are: about three turns count.
-constexpr Millis LATE_COUNTS(500);  ///< A turn counts as so late at most: a stopped process is behind once only.
+/** Maximum time between two turns: bounds the delay in noticing expired leases and boxes to be retried. */
+constexpr Millis IDLE_TURN_INTERVAL(500);
+/** Minimum time between two visits of all boxes. There are some hundred turns a second, and what the visit looks for
+ * (expired leases, boxes to be drained) can wait this long. */
+constexpr Millis BOX_CHECK_INTERVAL(50);
+/** Weight of the newest turn in the smoothed lateness; about three turns count. */
+constexpr double LATENESS_WEIGHT = 0.3;
+/** Upper limit of a turn's lateness, so that a suspended process counts as late only once. */
+constexpr Millis LATENESS_MAX(500);
 
 } // namespace
 
@@ -26,8 +29,8 @@
 {
 	TaskId id{this->spec.id, static_cast<uint32_t>(place / this->per_occurrence), 0, 0};
 	const auto rest = static_cast<uint32_t>(place % this->per_occurrence);
-	const auto behind = std::ranges::upper_bound(this->step_offsets, rest);
-	id.step = static_cast<uint32_t>(std::distance(this->step_offsets.begin(), behind)) - 1;
+	const auto next_step = std::ranges::upper_bound(this->step_offsets, rest);
+	id.step = static_cast<uint32_t>(std::distance(this->step_offsets.begin(), next_step)) - 1;
 	id.index = rest - this->step_offsets[id.step];
 	return id;
 }
@@ -35,10 +38,10 @@
 Shard::Shard(Scheduler &scheduler, PairedJournal &journal, BoxOrders &orders, EventLog &log, ServiceName service,
 			 FenceToken fence, ShardLimits limits, PlacementAdvisor *advisor)
 		: scheduler(scheduler), journal(journal), orders(orders), log(log), service(std::move(service)), fence(fence),
-		  limits(limits), owned_since(scheduler.Now()), other_owner_until(scheduler.Now() + limits.owner_term),
+		  limits(limits), owned_since(scheduler.Now()), earlier_leases_until(scheduler.Now() + limits.owner_term),
 		  tickets(scheduler, log, advisor)
 {
-	this->tickets.on_tickets = [this] { this->Wake(); };
+	this->tickets.on_tickets = [this] { this->ScheduleTurn(); };
 }
 
 Shard::~Shard()
@@ -73,7 +76,7 @@
 
 void Shard::ApplyRoute(ShardJob &job) const
 {
-	/* A route that was removed keeps its last figures for the jobs that it took. */
+	/* Jobs of a removed route keep its last configuration. */
 	if (const JobRoute *route = this->config.FindRoute(job.spec.route); route != nullptr) {
 		job.route = *route;
 	}
@@ -95,7 +98,8 @@
 	if (const auto old = this->restored.find(spec.id); old != this->restored.end()) {
 		job.phase = job.durable_phase = old->second.phase;
 		job.revision = old->second.revision;
-		/* A record of another size can only come from a fault: the tasks keep their fresh state, the phase counts. */
+		/* A record of another size can only come from a fault: the tasks start in their initial state, but the recorded
+		 * phase counts. */
 		if (old->second.tasks.size() == job.tasks.size()) {
 			std::ranges::transform(old->second.tasks, job.tasks.begin(), [&job](const StoredTask &it) {
 				ShardTask task;
@@ -111,7 +115,7 @@
 	}
 	ShardJob &kept = this->jobs.emplace(spec.id, std::move(job)).first->second;
 	if (!kept.Over() && std::ranges::any_of(kept.tasks, [](const ShardTask &it) { return it.crashes > 0; })) {
-		this->RaiseAlarm();
+		this->SpaceStarts();
 	}
 	for (size_t place = 0; place < kept.tasks.size(); place++) {
 		ShardTask &task = kept.tasks[place];
@@ -120,13 +124,13 @@
 		}
 		auto [it, added] = this->boxes.try_emplace(task.box);
 		if (added) {
-			/* Its report has not come (yet). */
+			/* Its report has not arrived yet, if there is one. */
 			it->second.report.incarnation = task.box;
 			it->second.fence = this->NextFence();
 			it->second.listed = false;
-			it->second.lapse_at = this->FirstLapse();
+			it->second.lease_expired_at = this->EarlierLeasesEnd();
 		}
-		this->Put(it->second, kept, kept.TaskAt(place));
+		this->AddToBox(it->second, kept, kept.TaskAt(place));
 		this->book.Add(spec.account, spec.steps[kept.TaskAt(place).step].demand);
 	}
 	this->log.Write("job_taken", {{"job", spec.id.Value()},
@@ -137,7 +141,7 @@
 								  {"image", kept.spec.steps.empty() ? "" : kept.spec.steps.front().image},
 								  {"estimate_ms", std::to_string(kept.spec.steps.front().estimate.Value())},
 								  {"phase", NameOf(kept.phase)}});
-	/* A run that was placed by an earlier owner has begun once its box lists it. */
+	/* A run that was placed by an earlier owner counts as started once its box lists it. */
 	kept.begun = std::ranges::any_of(kept.tasks, [](const ShardTask &it) {
 		return it.phase == TaskPhase::TP_DONE || it.failures > 0 || it.crashes > 0 ||
 			   (it.phase == TaskPhase::TP_WAITING && it.run.Value() > 0);
@@ -155,7 +159,7 @@
 			}
 		}
 	}
-	this->Wake();
+	this->ScheduleTurn();
 }
 
 bool Shard::Cancelled(const JobSpec &spec) const
@@ -178,7 +182,7 @@
 	if (it != this->jobs.end() && !it->second.Over() && MayAccess(it->second.spec.account, account)) {
 		this->EndJob(it->second, JobPhase::JP_CANCELLED, "cancelled");
 	}
-	this->Wake();
+	this->ScheduleTurn();
 }
 
 void Shard::Configure(const JobConfig &config)
@@ -190,7 +194,7 @@
 		this->ApplyRoute(it);
 		it.outlook.stale = true;
 	});
-	this->Wake();
+	this->ScheduleTurn();
 }
 
 void Shard::Begin()
@@ -202,18 +206,18 @@
 									{"live", std::to_string(this->live.size())},
 									{"boxes", std::to_string(this->boxes.size())}});
 	for (auto &[incarnation, box] : this->boxes) {
-		if (ShardBox *newest = this->LivesOf(incarnation.id).back(); !newest->over) {
-			this->EndOtherLives(*newest);
+		if (ShardBox *newest = this->IncarnationsOf(incarnation.id).back(); !newest->over) {
+			this->EndOtherIncarnations(*newest);
 		}
-		/* Whether a box that was lost from sight has another life by now, it tells itself: otherwise its tasks wait
-		 * until its lease must have lapsed. */
-		if (const auto it = this->gone_reports.find(incarnation); it != this->gone_reports.end() && !box.listed) {
+		/* The box itself answers whether its unlisted agent has another incarnation by now. Without the removed
+		 * report's address, its tasks would wait until its lease must have expired. */
+		if (const auto it = this->removed_reports.find(incarnation); it != this->removed_reports.end() && !box.listed) {
 			box.report = it->second;
 		}
-		this->PumpLease(box);
+		this->RenewLease(box);
 	}
-	this->gone_reports.clear();
-	this->Wake();
+	this->removed_reports.clear();
+	this->ScheduleTurn();
 }
 
 JobView Shard::View(const JobId &id) const
@@ -248,19 +252,19 @@
 	return const_cast<ShardTask *>(std::as_const(*this).FindTask(id));
 }
 
-void Shard::Touch(const JobId &id)
+void Shard::MarkDirty(const JobId &id)
 {
 	this->dirty.insert(id);
 	this->jobs.at(id).outlook.stale = true;
-	this->Wake();
+	this->ScheduleTurn();
 }
 
-void Shard::Wake()
+void Shard::ScheduleTurn()
 {
-	if (this->woken || !this->begun || this->deposed) {
+	if (this->turn_scheduled || !this->begun || this->superseded) {
 		return;
 	}
-	this->woken = true;
+	this->turn_scheduled = true;
 	this->scheduler.Cancel(this->timer);
 	this->turn_due = this->scheduler.Now();
 	this->timer = this->scheduler.After(Millis(0), [this] { this->Turn(); });
@@ -268,44 +272,45 @@
 
 void Shard::NoteLateness()
 {
-	const Millis late = std::clamp(this->scheduler.Now() - this->turn_due, Millis(0), LATE_COUNTS);
-	this->late_ms += (static_cast<double>(late.Value()) - this->late_ms) * LATE_WEIGHT;
+	const Millis late = std::clamp(this->scheduler.Now() - this->turn_due, Millis(0), LATENESS_MAX);
+	this->late_ms += (static_cast<double>(late.Value()) - this->late_ms) * LATENESS_WEIGHT;
 }
 
 void Shard::Turn()
 {
-	this->woken = false;
+	this->turn_scheduled = false;
 	this->NoteLateness();
-	const Millis look_again = this->SeeToBoxes();
-	/* Nothing can be recorded, and so nothing started, before the append under way has ended: OnCommitted() goes on. */
+	const Millis check_again = this->CheckBoxes();
+	/* Nothing can be recorded, and so nothing started, before the append under way has ended; OnCommitted() continues
+	 * then. */
 	this->place_wanted = !this->MayRecord();
 	if (!this->place_wanted) {
-		this->TakeIncoming();
+		this->ApplyIncoming();
 		this->Place();
 		this->Commit();
 	}
-	if (!this->woken) {
-		const Millis pause = std::min(TICK, look_again);
+	if (!this->turn_scheduled) {
+		const Millis pause = std::min(IDLE_TURN_INTERVAL, check_again);
 		this->turn_due = this->scheduler.Now() + pause;
 		this->timer = this->scheduler.After(pause, [this] { this->Turn(); });
 	}
 }
 
-Millis Shard::SeeToBoxes()
+Millis Shard::CheckBoxes()
 {
-	const Millis since = this->scheduler.Now() - this->boxes_seen_at;
-	if (since < SEE_TO_BOXES && !this->boxes_changed) {
-		return SEE_TO_BOXES - since;
+	const Millis since = this->scheduler.Now() - this->boxes_checked_at;
+	if (since < BOX_CHECK_INTERVAL && !this->boxes_changed) {
+		return BOX_CHECK_INTERVAL - since;
 	}
-	this->boxes_seen_at = this->scheduler.Now();
+	this->boxes_checked_at = this->scheduler.Now();
 	this->boxes_changed = false;
-	this->LapseBoxes();
-	this->NoteStoreAway();
-	this->EmptyBoxes();
-	return TICK;
+	this->ExpireLeases();
+	this->NoteLogUnreachable();
+	this->DrainBoxes();
+	return IDLE_TURN_INTERVAL;
 }
 
-void Shard::Put(ShardBox &box, const ShardJob &job, const TaskId &id)
+void Shard::AddToBox(ShardBox &box, const ShardJob &job, const TaskId &id)
 {
 	box.placed.insert(id);
 	box.used += job.spec.steps[id.step].demand;
@@ -314,7 +319,7 @@
 	}
 }
 
-bool Shard::Take(ShardBox &box, const ShardJob &job, const TaskId &id)
+bool Shard::RemoveFromBox(ShardBox &box, const ShardJob &job, const TaskId &id)
 {
 	if (box.placed.erase(id) == 0) {
 		return false;
@@ -324,21 +329,21 @@
 	return true;
 }
 
-void Shard::EndJob(ShardJob &job, JobPhase phase, const char *why)
+void Shard::EndJob(ShardJob &job, JobPhase phase, const char *reason)
 {
 	job.phase = phase;
 	this->live.erase(job.spec.id);
 	this->tickets.Forget(job.spec.id);
 	this->log.Write("job_over", {{"job", job.spec.id.Value()},
 								 {"phase", NameOf(phase)},
-								 {"why", why},
+								 {"why", reason},
 								 {"age_ms", std::to_string((this->scheduler.Now() - job.taken_at).Value())}});
 	for (size_t place = 0; place < job.tasks.size(); place++) {
 		if (job.tasks[place].phase == TaskPhase::TP_PLACED) {
-			this->WantStop(job.TaskAt(place), job.tasks[place], why);
+			this->WantStop(job.TaskAt(place), job.tasks[place], reason);
 		}
 	}
-	this->Touch(job.spec.id);
+	this->MarkDirty(job.spec.id);
 }
 
 void Shard::CheckCompleted(ShardJob &job)
--- a/src/jobs/shard_records.cpp
+++ b/src/jobs/shard_records.cpp
@@ -1,4 +1,4 @@
-/** @file shard_records.cpp Shard: what is recorded, when, and what callers are told of it. */
+/** @file shard_records.cpp Shard: recording in the log, and answers to callers. */
 #include "shard_base.h"
 
 #include <algorithm>
@@ -7,37 +7,41 @@
 
 namespace {
 
-/** What has waited so long for an append is handed back unrecorded: its caller may try elsewhere. A slow store takes
- * 600 ms. */
+/** A caller's record that has waited this long for an append is returned unrecorded, so that the caller can try
+ * elsewhere. A slow store takes 600 ms per append. */
 constexpr Millis WITHDRAW_AFTER(700);
-/** After the log has refused what was to be recorded, callers' records are refused at once for so long, and nothing is
- * placed: two of its refusals. */
-constexpr Millis REFUSED_FOR(200);
-/** Starts whose record took so long wait until the inbox was read. A slow store takes 600 ms. */
-constexpr Millis RECORD_LATE(1000);
-/** The same for starts that are recorded within this time after the log was last away; that is looked at twice a
- * second, and the first append after it takes up to 0.6 s. */
-constexpr Millis LOG_BACK(2000);
-constexpr Millis INBOX_WAIT(600); ///< The same at most: an inbox that says nothing must not hold up a queue.
-constexpr Millis LOG_AWAY(1600);  ///< An owner that was confirmed longer ago takes nothing to be recorded.
+/** After the log has refused an append, callers' records are refused and nothing is placed for this time, which is that
+ * of two refusals. */
+constexpr Millis REFUSAL_PAUSE(200);
+/** Starts whose record took at least this long wait until the inbox has been read. A slow store takes 600 ms per
+ * append. */
+constexpr Millis SLOW_RECORD(1000);
+/** So do starts that are recorded within this time after the log was last unreachable: that is checked twice a second,
+ * and the first append afterwards takes up to 0.6 s. */
+constexpr Millis LOG_RECOVERY(2000);
+/** Maximum time that starts wait for the inbox, so that an unresponsive inbox doesn't block them. */
+constexpr Millis INBOX_WAIT_MAX(600);
+/** An owner whose last confirmation is older accepts no records of callers. */
+constexpr Millis LOG_UNCONFIRMED_MAX(1600);
 
 } // namespace
 
 bool Shard::MayRecord() const
 {
-	return !this->journal.Busy() && this->scheduler.Now() - this->refused_at >= REFUSED_FOR;
+	return !this->journal.Busy() && this->scheduler.Now() - this->refused_at >= REFUSAL_PAUSE;
 }
 
 void Shard::Accept(IncomingRecord incoming)
 {
 	const Millis now = this->scheduler.Now();
-	const bool away = now - this->journal.ConfirmedAt() > LOG_AWAY || now - this->refused_at < REFUSED_FOR;
-	if (this->OfOtherAccount(incoming.name)) {
+	const bool unconfirmed =
+			now - this->journal.ConfirmedAt() > LOG_UNCONFIRMED_MAX || now - this->refused_at < REFUSAL_PAUSE;
+	if (this->BelongsToOtherAccount(incoming.inbox_key)) {
 		incoming.done(ResultCode::RC_OTHER_ACCOUNT);
 		return;
 	}
-	if (!this->begun || this->deposed || away || this->FateOf(incoming) == ResultCode::RC_OK) {
-		incoming.done(this->FateOf(incoming));
+	if (!this->begun || this->superseded || unconfirmed || this->KnownResultOf(incoming) == ResultCode::RC_OK) {
+		incoming.done(this->KnownResultOf(incoming));
 		return;
 	}
 	const uint64_t number = ++this->incoming_last;
@@ -47,24 +51,25 @@
 			this->Withdraw(number);
 		}
 	});
-	this->Wake();
+	this->ScheduleTurn();
 }
 
-ResultCode Shard::FateOf(const IncomingRecord &incoming) const
+ResultCode Shard::KnownResultOf(const IncomingRecord &incoming) const
 {
-	/* The same may have come before: its record stands, or is in a batch that the log may yet take. */
+	/* An equal record may have arrived before: it is recorded already, or in a batch that the log may yet accept. */
 	if (!incoming.spec) {
-		return this->cancelled.contains({incoming.name.job, incoming.name.account}) ? ResultCode::RC_OUTCOME_UNKNOWN
-																					: ResultCode::RC_LOG_UNAVAILABLE;
+		return this->cancelled.contains({incoming.inbox_key.job, incoming.inbox_key.account})
+					   ? ResultCode::RC_OUTCOME_UNKNOWN
+					   : ResultCode::RC_LOG_UNAVAILABLE;
 	}
-	const auto it = this->jobs.find(incoming.name.job);
+	const auto it = this->jobs.find(incoming.inbox_key.job);
 	if (it == this->jobs.end()) {
 		return ResultCode::RC_LOG_UNAVAILABLE;
 	}
 	return it->second.recorded ? ResultCode::RC_OK : ResultCode::RC_OUTCOME_UNKNOWN;
 }
 
-bool Shard::OfOtherAccount(const InboxKey &name) const
+bool Shard::BelongsToOtherAccount(const InboxKey &name) const
 {
 	const auto it = this->jobs.find(name.job);
 	return it != this->jobs.end() && !MayAccess(it->second.spec.account, name.account);
@@ -73,31 +78,31 @@
 void Shard::Withdraw(uint64_t number)
 {
 	if (const auto node = this->incoming.extract(number); !node.empty()) {
-		node.mapped().done(this->FateOf(node.mapped()));
+		node.mapped().done(this->KnownResultOf(node.mapped()));
 	}
 }
 
-void Shard::TakeIncoming()
+void Shard::ApplyIncoming()
 {
 	for (IncomingRecord &it : std::exchange(this->incoming, {}) | std::views::values) {
-		if (this->OfOtherAccount(it.name)) {
-			it.done(ResultCode::RC_OTHER_ACCOUNT); /* Two came at once with one id. */
+		if (this->BelongsToOtherAccount(it.inbox_key)) {
+			it.done(ResultCode::RC_OTHER_ACCOUNT); /* Two callers have submitted the same id at the same time. */
 			continue;
 		}
-		const bool known =
-				it.spec ? this->jobs.contains(it.name.job) : this->cancelled.contains({it.name.job, it.name.account});
+		const bool known = it.spec ? this->jobs.contains(it.inbox_key.job)
+								   : this->cancelled.contains({it.inbox_key.job, it.inbox_key.account});
 		if (known) {
-			it.record.key.clear(); /* Recorded before: no append is under way. */
+			it.record.key.clear(); /* Already recorded, since no append is under way. */
 		} else if (it.spec) {
 			this->Submit(*it.spec, false);
 		} else {
-			this->Cancel(it.name.job, it.name.account);
+			this->Cancel(it.inbox_key.job, it.inbox_key.account);
 		}
 		this->accepted.push_back(std::move(it));
 	}
 }
 
-StoredProgress Shard::Stored(const ShardJob &job) const
+StoredProgress Shard::ProgressOf(const ShardJob &job) const
 {
 	StoredProgress out;
 	out.phase = job.phase;
@@ -109,9 +114,9 @@
 	return out;
 }
 
-Shard::Batch Shard::TakeBatch(std::vector<KeyedRecord> &records)
+Shard::Batch Shard::BuildBatch(std::vector<KeyedRecord> &records)
 {
-	/* No append is under way, so all that was taken in is either recorded or among the dirty jobs. */
+	/* No append is under way, so all records passed in are either durable or belong to the dirty jobs. */
 	Batch batch;
 	batch.made_at = this->scheduler.Now();
 	this->counters.boxes_walked += this->boxes.size();
@@ -120,8 +125,8 @@
 			batch.ends[incarnation] = box.ends_seen;
 		}
 	}
-	batch.taken = std::exchange(this->accepted, {});
-	for (const IncomingRecord &it : batch.taken) {
+	batch.caller_records = std::exchange(this->accepted, {});
+	for (const IncomingRecord &it : batch.caller_records) {
 		if (!it.record.key.empty()) {
 			records.push_back(it.record);
 		}
@@ -129,7 +134,7 @@
 	for (const JobId &id : std::exchange(this->dirty, {})) {
 		ShardJob &job = this->jobs.at(id);
 		job.revision++;
-		records.push_back(KeyedRecord{id.Value(), EncodeProgress(this->Stored(job))});
+		records.push_back(KeyedRecord{id.Value(), EncodeProgress(this->ProgressOf(job))});
 		batch.phases[id] = job.phase;
 	}
 	batch.starts = std::exchange(this->starts, {});
@@ -140,22 +145,22 @@
 void Shard::Commit()
 {
 	std::vector<KeyedRecord> records;
-	const Batch batch = this->TakeBatch(records);
-	const auto tell = [taken = batch.taken] {
-		std::ranges::for_each(taken, [](const IncomingRecord &it) { it.done(ResultCode::RC_OK); });
+	const Batch batch = this->BuildBatch(records);
+	const auto notify_callers = [callers = batch.caller_records] {
+		std::ranges::for_each(callers, [](const IncomingRecord &it) { it.done(ResultCode::RC_OK); });
 	};
 	if (records.empty()) {
-		tell();
+		notify_callers();
 		this->OnCommitted(batch);
 		return;
 	}
-	/* The journal may outlive the shard, to say in the log that its owner has let go. */
+	/* The journal may outlive the shard, to record that its owner has released it. */
 	const std::weak_ptr<bool> still(this->alive);
-	const auto committed = [this, batch, tell, still] {
+	const auto committed = [this, batch, notify_callers, still] {
 		if (!still.expired()) {
-			std::ranges::for_each(batch.taken, [this](const IncomingRecord &it) { this->NoteRecorded(it); });
+			std::ranges::for_each(batch.caller_records, [this](const IncomingRecord &it) { this->NoteRecorded(it); });
 		}
-		tell();
+		notify_callers();
 		if (!still.expired()) {
 			this->OnCommitted(batch);
 		}
@@ -181,43 +186,44 @@
 	}
 	std::ranges::copy(batch.starts, std::back_inserter(this->recorded_starts));
 	const Millis now = this->scheduler.Now();
-	/* Also what was placed only when the log was back: an append without an answer holds up placing, too. */
-	const bool was_away = now - this->store_away_at < LOG_BACK;
-	if (was_away || now - batch.made_at >= RECORD_LATE) {
+	/* This includes tasks placed only after the log was reachable again, since an unanswered append also delays
+	 * placing. */
+	const bool was_unreachable = now - this->log_unreachable_at < LOG_RECOVERY;
+	if (was_unreachable || now - batch.made_at >= SLOW_RECORD) {
 		this->HoldStarts();
 	}
-	this->PumpStarts();
+	this->SendRecordedStarts();
 	std::ranges::for_each(batch.stops, [this](const PendingStop &it) { this->OnStopRecorded(it); });
 	for (const auto &[incarnation, number] : batch.ends) {
 		const auto it = this->boxes.find(incarnation);
 		if (it != this->boxes.end()) {
 			it->second.ends_durable = std::max(it->second.ends_durable, number);
-			this->PumpLease(it->second);
+			this->RenewLease(it->second);
 		}
 	}
 	if (!this->dirty.empty() || this->place_wanted) {
-		this->Wake();
+		this->ScheduleTurn();
 	}
 }
 
 void Shard::HoldStarts()
 {
-	/* While this owner's way to the log was cut, other nodes may have confirmed cancellations by the inbox. */
+	/* While this owner could not reach the log, other nodes may have confirmed cancellations that lie in the inbox. */
 	if (!this->read_inbox || this->recorded_starts.empty() || std::exchange(this->starts_held, true)) {
 		return;
 	}
-	const auto go_on = [this, still = std::weak_ptr<bool>(this->alive)] {
+	const auto resume = [this, still = std::weak_ptr<bool>(this->alive)] {
 		if (!still.expired() && std::exchange(this->starts_held, false)) {
-			this->PumpStarts();
+			this->SendRecordedStarts();
 		}
 	};
-	this->scheduler.After(INBOX_WAIT, go_on);
-	this->read_inbox(go_on);
+	this->scheduler.After(INBOX_WAIT_MAX, resume);
+	this->read_inbox(resume);
 }
 
 void Shard::NoteRecorded(const IncomingRecord &incoming)
 {
-	if (const auto it = this->jobs.find(incoming.name.job); it != this->jobs.end() && incoming.spec) {
+	if (const auto it = this->jobs.find(incoming.inbox_key.job); it != this->jobs.end() && incoming.spec) {
 		it->second.recorded = true;
 	}
 }
@@ -228,16 +234,16 @@
 	std::ranges::copy(batch.stops, std::back_inserter(this->stops));
 	std::ranges::copy(batch.phases | std::views::keys, std::inserter(this->dirty, this->dirty.end()));
 	std::vector<IncomingRecord> refused;
-	for (const IncomingRecord &it : batch.taken) {
-		const auto job = this->jobs.find(it.name.job);
+	for (const IncomingRecord &it : batch.caller_records) {
+		const auto job = this->jobs.find(it.inbox_key.job);
 		const bool stays = !it.spec || (job != this->jobs.end() && job->second.recorded);
 		if (stays) {
-			/* A cancellation has had its effect already; a job that came by the inbox as well is kept. */
+			/* A cancellation has already taken effect, and a job that also arrived in the inbox is kept. */
 			this->accepted.push_back(it);
 			continue;
 		}
 		if (job != this->jobs.end()) {
-			this->Forget(it.name.job);
+			this->Forget(it.inbox_key.job);
 		}
 		refused.push_back(it);
 	}
@@ -255,7 +261,7 @@
 	for (size_t place = 0; place < job.tasks.size(); place++) {
 		const auto box = this->boxes.find(job.tasks[place].box);
 		if (box != this->boxes.end()) {
-			this->Take(box->second, job, job.TaskAt(place));
+			this->RemoveFromBox(box->second, job, job.TaskAt(place));
 		}
 		if (job.tasks[place].phase == TaskPhase::TP_PLACED) {
 			this->book.Remove(job.spec.account, job.spec.steps[job.TaskAt(place).step].demand);
@@ -270,7 +276,7 @@
 void Shard::OnJournalFree()
 {
 	if (this->place_wanted) {
-		this->Wake();
+		this->ScheduleTurn();
 	}
 }
 
@@ -278,11 +284,11 @@
 {
 	this->refused_at = this->scheduler.Now();
 	for (const IncomingRecord &it : std::exchange(this->incoming, {}) | std::views::values) {
-		it.done(this->FateOf(it));
+		it.done(this->KnownResultOf(it));
 	}
-	this->scheduler.After(REFUSED_FOR, [this, still = std::weak_ptr<bool>(this->alive)] {
+	this->scheduler.After(REFUSAL_PAUSE, [this, still = std::weak_ptr<bool>(this->alive)] {
 		if (!still.expired()) {
-			this->Wake();
+			this->ScheduleTurn();
 		}
 	});
 }
