--- a/src/jobs/shard_base.h
+++ b/src/jobs/shard_base.h
@@ -111,7 +111,7 @@
 	/** @return Jobs by id, also those that are over. */
 	[[nodiscard]] const ShardJobs &Jobs() const { return this->jobs; }
 
-	std::function<void()> on_deposed; ///< Called last in a turn when a box has seen a higher token.
+	std::function<void()> on_superseded; ///< Called last in a turn when a box has seen a higher token.
 	/** Reads the inbox up to its current end and calls back once its records have been passed in. Null when there is no
 	 * inbox. */
 	std::function<void(std::function<void()>)> read_inbox;
--- a/src/jobs/shard_boxes.cpp
+++ b/src/jobs/shard_boxes.cpp
@@ -472,7 +472,7 @@
 		return;
 	}
 	this->log.Write("deposed", {{"service", this->service.Value()}, {"fence", std::to_string(this->fence.Value())}});
-	if (this->on_deposed) {
-		this->on_deposed();
+	if (this->on_superseded) {
+		this->on_superseded();
 	}
 }
--- a/src/jobs/shard_owner.cpp
+++ b/src/jobs/shard_owner.cpp
@@ -82,9 +82,9 @@
 			}
 		});
 	};
-	this->journal->on_deposed = lose_ownership;
+	this->journal->on_superseded = lose_ownership;
 	this->journal->on_repeated = [this] { this->shard->OnJournalFree(); };
-	this->shard->on_deposed = lose_ownership;
+	this->shard->on_superseded = lose_ownership;
 	for (const auto &[key, bytes] : claimed.records) {
 		if (key.front() == ACCEPTED_PREFIX) {
 			this->loading.push_back(KeyedRecord{key.substr(1), bytes});
@@ -253,7 +253,7 @@
 	const StoredOwner last{this->epoch, this->context.address, true, this->shard->EarlierLeaseSpanLeft()};
 	this->shard.reset();
 	this->journal->on_repeated = nullptr;
-	this->journal->on_deposed = done;
+	this->journal->on_superseded = done;
 	this->journal->Append({KeyedRecord{OWNER_KEY, EncodeOwner(last)}}, done);
 }
 
--- a/src/upkeep/fleet_owner.cpp
+++ b/src/upkeep/fleet_owner.cpp
@@ -61,7 +61,7 @@
 																	return SpareKey{key, key != OWNER_KEY};
 																}},
 													claimed.number);
-	this->journal->on_deposed = [this] { this->EndOwnership(); };
+	this->journal->on_superseded = [this] { this->EndOwnership(); };
 	this->Tick();
 }
 
@@ -114,7 +114,7 @@
 		return;
 	}
 	this->context.events.Write("fleet_released", {{"fence", std::to_string(this->fence.Value())}});
-	this->journal->on_deposed = done;
+	this->journal->on_superseded = done;
 	std::vector<KeyedRecord> records = this->recent_orders.Release(this->context.scheduler.Now());
 	records.push_back(
 			KeyedRecord{OWNER_KEY, EncodeOwner(StoredOwner{this->epoch, this->context.address, true, Millis(0)})});
--- a/tests/test_group.cpp
+++ b/tests/test_group.cpp
@@ -38,11 +38,11 @@
 
 TEST_CASE("a member's name tells its address and its processor time")
 {
-	const GroupPeer peer = PeerOf(MemberNameOf(GroupPeer{"10.1.0.9:7060", 250}));
+	const GroupPeer peer = ParseMemberName(MemberNameOf(GroupPeer{"10.1.0.9:7060", 250}));
 	CHECK(peer.address == "10.1.0.9:7060");
 	CHECK(peer.cpu == 250);
-	CHECK(PeerOf("10.1.0.9:7060").address == "10.1.0.9:7060");
-	CHECK(PeerOf("10.1.0.9:7060").cpu == 0);
+	CHECK(ParseMemberName("10.1.0.9:7060").address == "10.1.0.9:7060");
+	CHECK(ParseMemberName("10.1.0.9:7060").cpu == 0);
 }
 
 TEST_CASE("shards are owned by nodes with much more processor time, as long as there are some")
--- a/tests/test_owner_work.cpp
+++ b/tests/test_owner_work.cpp
@@ -61,7 +61,7 @@
 	/* The order that tells them waits up to a second for another end. */
 	world.clock.RunUntil(Millis(4500));
 	for (const auto &[incarnation, box] : shard->Boxes()) {
-		CHECK(box.ends_told == box.ends_seen);
+		CHECK(box.ends_acknowledged == box.ends_seen);
 	}
 }
 
