--- a/src/bench/proxy_bench.cpp
+++ b/src/bench/proxy_bench.cpp
@@ -146,7 +146,7 @@
 	double CpuSeconds()
 	{
 		double seconds = 0;
-		this->lane.RunThere([&] { seconds = ThreadSeconds(); });
+		this->lane.RunOnThread([&] { seconds = ThreadSeconds(); });
 		return seconds;
 	}
 
@@ -158,7 +158,7 @@
 };
 
 /** A caller's connection that sends one request after the other. */
-class LoadConnection : public QObject, public AnswerParts {
+class LoadConnection : public QObject, public ResponseHandler {
 public:
 	LoadConnection(quint16 port, std::vector<double> &latencies) : latencies(latencies)
 	{
@@ -179,7 +179,7 @@
 		if (this->reader) {
 			return;
 		}
-		this->reader = std::make_unique<AnswerReader>(false);
+		this->reader = std::make_unique<ResponseReader>(false);
 		this->began = Clock::now();
 		this->socket.write(this->bytes.data(), static_cast<qint64>(this->bytes.size()));
 	}
@@ -193,12 +193,12 @@
 	uint64_t failures = 0; ///< Answers that were no 200.
 
 private:
-	QTcpSocket socket;                    ///< The connection.
-	std::string bytes;                    ///< The request.
-	std::vector<double> &latencies;       ///< Takes latencies in microseconds.
-	std::unique_ptr<AnswerReader> reader; ///< Reads the answer under way.
-	Clock::time_point began;              ///< When the request was sent.
-	bool good = false;                    ///< Whether the answer is a 200.
+	QTcpSocket socket;                      ///< The connection.
+	std::string bytes;                      ///< The request.
+	std::vector<double> &latencies;         ///< Takes latencies in microseconds.
+	std::unique_ptr<ResponseReader> reader; ///< Reads the answer under way.
+	Clock::time_point began;                ///< When the request was sent.
+	bool good = false;                      ///< Whether the answer is a 200.
 
 	void OnReadable()
 	{
--- a/src/cli/keeper_call.cpp
+++ b/src/cli/keeper_call.cpp
@@ -13,7 +13,7 @@
 	QEventLoop loop;
 	std::unique_ptr<MessageUnion> answer;
 	bool sent = false;
-	client.on_up = [&] {
+	client.on_connected = [&] {
 		/* Sent once: a second sending of the same question could publish twice. */
 		if (!sent) {
 			sent = true;
@@ -24,7 +24,7 @@
 		answer = std::make_unique<MessageUnion>(message);
 		loop.quit();
 	};
-	client.on_down = [&] {
+	client.on_disconnected = [&] {
 		if (sent) {
 			loop.quit();
 		}
--- a/src/entry/keeper_client.cpp
+++ b/src/entry/keeper_client.cpp
@@ -18,13 +18,13 @@
 		  heard(scheduler.Now())
 {
 	this->client.on_message = [this](const MessageUnion &message) { this->OnMessage(message); };
-	this->client.on_up = [this] {
+	this->client.on_connected = [this] {
 		this->heard = this->scheduler.Now();
 		this->sent_at.clear();
 		LogEvent(LogLevel::LL_INFO, "keeper_connected", {});
 		this->SayHello();
 	};
-	this->client.on_down = [this] { this->sent_at.clear(); };
+	this->client.on_disconnected = [this] { this->sent_at.clear(); };
 }
 
 void KeeperClient::Start()
--- a/src/entry/lane.cpp
+++ b/src/entry/lane.cpp
@@ -93,7 +93,7 @@
 	});
 }
 
-void Lane::RunThere(const std::function<void()> &run)
+void Lane::RunOnThread(const std::function<void()> &run)
 {
 	QMetaObject::invokeMethod(&this->anchor, run, Qt::BlockingQueuedConnection);
 }
--- a/src/entry/lane.h
+++ b/src/entry/lane.h
@@ -44,7 +44,7 @@
 	 * Runs a function on the lane's thread and waits for it.
 	 * @param run The function.
 	 */
-	void RunThere(const std::function<void()> &run);
+	void RunOnThread(const std::function<void()> &run);
 
 	/** @return Callers' and peers' connections. */
 	[[nodiscard]] int Connections() const { return this->open; }
--- a/src/net/caller_link.cpp
+++ b/src/net/caller_link.cpp
@@ -161,7 +161,7 @@
 		this->framing = this->reader.Chunks() ? BodyFraming::BF_CHUNKS : BodyFraming::BF_CLOSE;
 	}
 	this->closing = this->closing || this->framing == BodyFraming::BF_CLOSE;
-	this->Write(WriteAnswerHead(head, this->framing, !this->closing));
+	this->Write(WriteResponseHead(head, this->framing, !this->closing));
 }
 
 void CallerLink::Body(std::string_view data)
@@ -179,7 +179,7 @@
 void CallerLink::End()
 {
 	if (this->framing == BodyFraming::BF_CHUNKS && !this->head_request) {
-		this->Write(LastChunk());
+		this->Write(FinalChunk());
 	}
 	/* At once, not with the next turn of the event loop. */
 	this->socket.flush();
--- a/src/net/endpoint_link.cpp
+++ b/src/net/endpoint_link.cpp
@@ -23,7 +23,7 @@
 }
 
 /** A call over one connection. */
-class QtCall : public EndpointCall, public AnswerParts {
+class QtCall : public EndpointCall, public ResponseHandler {
 public:
 	QtCall(QtScheduler &scheduler, QtDialer &dialer, std::string address, const CallerRequest &request,
 		   CallEvents &events)
@@ -97,7 +97,7 @@
 	std::string address;                                        ///< IP:port.
 	CallEvents *events;                                         ///< Gets what happens; null once abandoned.
 	std::string bytes;                                          ///< The request.
-	AnswerReader reader;                                        ///< Reads the answer.
+	ResponseReader reader;                                      ///< Reads the answer.
 	QTcpSocket *socket = nullptr;                               ///< The connection.
 	bool sent = false;                                          ///< Whether a byte was offered to the socket.
 	bool paused = false;                                        ///< Whether reading is stopped.
@@ -197,7 +197,7 @@
 	{
 		QTcpSocket *done = std::exchange(this->socket, nullptr);
 		done->disconnect();
-		const bool usable = this->reader.KeepAlive() && !this->reader.Excess() &&
+		const bool usable = this->reader.KeepAlive() && !this->reader.HasExcess() &&
 							done->state() == QAbstractSocket::ConnectedState && done->bytesAvailable() == 0;
 		if (usable) {
 			this->dialer.Keep(this->address, done);
--- a/src/net/epoll_dispatcher.h
+++ b/src/net/epoll_dispatcher.h
@@ -34,7 +34,7 @@
 	void interrupt() override;
 
 	/** @return Time spent waiting for something to do, so far: what is left of a second is the loop's work. */
-	[[nodiscard]] std::chrono::nanoseconds Waited() const { return this->waited; }
+	[[nodiscard]] std::chrono::nanoseconds IdleTime() const { return this->waited; }
 
 private:
 	/** A timer that repeats until it is taken away. */
--- a/src/net/frame_link.cpp
+++ b/src/net/frame_link.cpp
@@ -29,13 +29,13 @@
 	socket->setSocketOption(QAbstractSocket::LowDelayOption, 1);
 	QObject::connect(socket, &QTcpSocket::readyRead, socket, [this] { this->OnReadable(); });
 	QObject::connect(socket, &QTcpSocket::connected, socket, [this] {
-		if (this->on_up) {
-			this->on_up();
+		if (this->on_connected) {
+			this->on_connected();
 		}
 	});
 	QObject::connect(socket, &QTcpSocket::stateChanged, socket, [this](QAbstractSocket::SocketState state) {
-		if (state == QAbstractSocket::UnconnectedState && this->on_down) {
-			this->on_down();
+		if (state == QAbstractSocket::UnconnectedState && this->on_disconnected) {
+			this->on_disconnected();
 		}
 	});
 }
@@ -107,8 +107,8 @@
 	return true;
 }
 
-FrameServer::FrameServer(OnMessage on_message, OnDown on_down)
-		: on_message(std::move(on_message)), on_down(std::move(on_down))
+FrameServer::FrameServer(OnMessage on_message, OnDown on_disconnected)
+		: on_message(std::move(on_message)), on_disconnected(std::move(on_disconnected))
 {
 	QObject::connect(&this->server, &QTcpServer::newConnection, &this->server, [this] { this->Accept(); });
 }
@@ -125,7 +125,7 @@
 		auto link = std::make_unique<FrameLink>(socket);
 		FrameLink *raw = link.get();
 		link->on_message = [this, raw](const MessageUnion &message) { this->on_message(*raw, message); };
-		link->on_down = [this, raw] {
+		link->on_disconnected = [this, raw] {
 			QMetaObject::invokeMethod(
 					&this->server, [this, raw] { this->Drop(raw); }, Qt::QueuedConnection);
 		};
@@ -140,7 +140,7 @@
 		return;
 	}
 	this->old_bytes += link->bytes_sent + link->bytes_received;
-	this->on_down(*link);
+	this->on_disconnected(*link);
 	this->links.erase(it);
 }
 
@@ -185,21 +185,21 @@
 			this->on_message(message);
 		}
 	};
-	this->link->on_up = [this] {
+	this->link->on_connected = [this] {
 		this->scheduler.Cancel(this->timer);
-		if (this->on_up) {
-			this->on_up();
+		if (this->on_connected) {
+			this->on_connected();
 		}
 	};
-	this->link->on_down = [this] { this->Down(); };
+	this->link->on_disconnected = [this] { this->Down(); };
 	this->timer = this->scheduler.After(CONNECT_TIMEOUT, [this] { this->TryNext(); });
 	socket->connectToHost(address.ip, address.port);
 }
 
 void FrameClient::Down()
 {
-	if (this->on_down) {
-		this->on_down();
+	if (this->on_disconnected) {
+		this->on_disconnected();
 	}
 	this->next++;
 	this->scheduler.Cancel(this->timer);
--- a/src/net/frame_link.h
+++ b/src/net/frame_link.h
@@ -57,11 +57,12 @@
 	/** @return Bytes waiting to be taken by the other side. */
 	[[nodiscard]] int64_t Pending() const;
 
-	OnMessage on_message;          ///< Gets each message.
-	std::function<void()> on_up;   ///< The connection stands.
-	std::function<void()> on_down; ///< The connection is gone; the link may be destroyed from here by a later event.
-	uint64_t bytes_sent = 0;       ///< Bytes sent.
-	uint64_t bytes_received = 0;   ///< Bytes received.
+	OnMessage on_message;               ///< Gets each message.
+	std::function<void()> on_connected; ///< The connection stands.
+	std::function<void()>
+			on_disconnected;     ///< The connection is gone; the link may be destroyed from here by a later event.
+	uint64_t bytes_sent = 0;     ///< Bytes sent.
+	uint64_t bytes_received = 0; ///< Bytes received.
 
 private:
 	QTcpSocket *socket; ///< The socket.
@@ -79,9 +80,9 @@
 
 	/**
 	 * @param on_message Gets each message with its link.
-	 * @param on_down Told when a link is gone, before it is destroyed.
+	 * @param on_disconnected Told when a link is gone, before it is destroyed.
 	 */
-	FrameServer(OnMessage on_message, OnDown on_down);
+	FrameServer(OnMessage on_message, OnDown on_disconnected);
 
 	/**
 	 * Begins to listen.
@@ -102,7 +103,7 @@
 private:
 	QTcpServer server;                           ///< The listener.
 	OnMessage on_message;                        ///< Gets each message.
-	OnDown on_down;                              ///< Told of links that are gone.
+	OnDown on_disconnected;                      ///< Told of links that are gone.
 	std::list<std::unique_ptr<FrameLink>> links; ///< Links that stand.
 	uint64_t old_bytes = 0;                      ///< Bytes of links that are gone.
 
@@ -140,9 +141,9 @@
 	/** @return Bytes sent and received. */
 	[[nodiscard]] uint64_t Bytes() const;
 
-	FrameLink::OnMessage on_message; ///< Gets each message.
-	std::function<void()> on_up;     ///< The connection stands.
-	std::function<void()> on_down;   ///< The connection is gone.
+	FrameLink::OnMessage on_message;       ///< Gets each message.
+	std::function<void()> on_connected;    ///< The connection stands.
+	std::function<void()> on_disconnected; ///< The connection is gone.
 
 private:
 	Scheduler &scheduler;              ///< Clock and timers.
--- a/src/net/http_codec.cpp
+++ b/src/net/http_codec.cpp
@@ -174,7 +174,7 @@
 }
 
 /** Beast's response parser with the body passed through. */
-struct AnswerReader::Parser {
+struct ResponseReader::Parser {
 	http::response_parser<http::buffer_body> beast; ///< The parser.
 };
 
@@ -185,20 +185,20 @@
 
 } // namespace
 
-AnswerReader::AnswerReader(bool head_request) : head_request(head_request), parser(std::make_unique<Parser>())
+ResponseReader::ResponseReader(bool head_request) : head_request(head_request), parser(std::make_unique<Parser>())
 {
 	this->parser->beast.body_limit(ANY_LENGTH);
 	this->parser->beast.skip(head_request);
 }
 
-AnswerReader::~AnswerReader() = default;
+ResponseReader::~ResponseReader() = default;
 
-bool AnswerReader::KeepAlive() const
+bool ResponseReader::KeepAlive() const
 {
 	return this->done && this->parser->beast.keep_alive();
 }
 
-void AnswerReader::PassHead(AnswerParts &parts)
+void ResponseReader::PassHead(ResponseHandler &parts)
 {
 	const auto &message = this->parser->beast.get();
 	ResponseHead head;
@@ -213,7 +213,7 @@
 	parts.OnHead(std::move(head));
 }
 
-bool AnswerReader::ReadHead(AnswerParts &parts)
+bool ResponseReader::ReadHead(ResponseHandler &parts)
 {
 	auto &beast = this->parser->beast;
 	boost::system::error_code ec;
@@ -236,7 +236,7 @@
 	return true;
 }
 
-bool AnswerReader::ReadBody(AnswerParts &parts)
+bool ResponseReader::ReadBody(ResponseHandler &parts)
 {
 	auto &beast = this->parser->beast;
 	boost::system::error_code ec;
@@ -255,7 +255,7 @@
 	return true;
 }
 
-bool AnswerReader::Read(std::string_view data, AnswerParts &parts)
+bool ResponseReader::Read(std::string_view data, ResponseHandler &parts)
 {
 	this->buf.append(data);
 	while (!this->done) {
@@ -278,7 +278,7 @@
 	return true;
 }
 
-bool AnswerReader::Eof()
+bool ResponseReader::Eof()
 {
 	if (this->done || !this->head_done) {
 		return this->done;
@@ -309,7 +309,7 @@
 	return out.append("\r\n").append(request.body);
 }
 
-std::string WriteAnswerHead(const ResponseHead &head, BodyFraming framing, bool keep_alive)
+std::string WriteResponseHead(const ResponseHead &head, BodyFraming framing, bool keep_alive)
 {
 	http::response<http::empty_body> message;
 	message.version(HTTP_1_1);
@@ -336,7 +336,7 @@
 	return boost::beast::buffers_to_string(chunk);
 }
 
-std::string_view LastChunk()
+std::string_view FinalChunk()
 {
 	return "0\r\n\r\n";
 }
--- a/src/net/http_codec.h
+++ b/src/net/http_codec.h
@@ -74,21 +74,21 @@
 };
 
 /** Gets the parts of an answer. */
-class AnswerParts {
+class ResponseHandler {
 public:
-	virtual ~AnswerParts() = default;
+	virtual ~ResponseHandler() = default;
 	virtual void OnHead(ResponseHead head) = 0;     ///< The head.
 	virtual void OnBody(std::string_view data) = 0; ///< A part of the body.
 };
 
 /** Reads one answer from a stream of bytes. */
-class AnswerReader {
+class ResponseReader {
 public:
 	/**
 	 * @param head_request Whether the request was HEAD: no body follows.
 	 */
-	explicit AnswerReader(bool head_request);
-	~AnswerReader();
+	explicit ResponseReader(bool head_request);
+	~ResponseReader();
 
 	/**
 	 * Reads bytes.
@@ -96,7 +96,7 @@
 	 * @param parts Gets the parts.
 	 * @return False when the bytes are no valid answer.
 	 */
-	bool Read(std::string_view data, AnswerParts &parts);
+	bool Read(std::string_view data, ResponseHandler &parts);
 
 	/**
 	 * The endpoint closed.
@@ -114,7 +114,7 @@
 	[[nodiscard]] bool KeepAlive() const;
 
 	/** @return Whether bytes came after the answer: the connection must not be used again. */
-	[[nodiscard]] bool Excess() const { return !this->buf.empty(); }
+	[[nodiscard]] bool HasExcess() const { return !this->buf.empty(); }
 
 private:
 	struct Parser;
@@ -125,9 +125,9 @@
 	bool head_done = false;         ///< Whether the head was passed on.
 	bool done = false;              ///< Whether the answer is whole.
 
-	void PassHead(AnswerParts &parts);
-	bool ReadHead(AnswerParts &parts);
-	bool ReadBody(AnswerParts &parts);
+	void PassHead(ResponseHandler &parts);
+	bool ReadHead(ResponseHandler &parts);
+	bool ReadBody(ResponseHandler &parts);
 };
 
 /**
@@ -152,7 +152,7 @@
  * @param keep_alive Whether the connection stays.
  * @return Bytes.
  */
-std::string WriteAnswerHead(const ResponseHead &head, BodyFraming framing, bool keep_alive);
+std::string WriteResponseHead(const ResponseHead &head, BodyFraming framing, bool keep_alive);
 
 /**
  * Frames a part of a body as a chunk.
@@ -162,6 +162,6 @@
 std::string WriteChunk(std::string_view data);
 
 /** @return Bytes that end a body in chunks. */
-std::string_view LastChunk();
+std::string_view FinalChunk();
 
 #endif /* HTTP_CODEC_H */
--- a/src/net/http_line.cpp
+++ b/src/net/http_line.cpp
@@ -71,7 +71,7 @@
 void HttpLine::Call(std::string bytes, HttpLineEvents &events)
 {
 	this->events = &events;
-	this->reader = std::make_unique<AnswerReader>(false);
+	this->reader = std::make_unique<ResponseReader>(false);
 	this->unsent = std::move(bytes);
 	this->status = 0;
 	this->body.clear();
@@ -154,7 +154,7 @@
 void HttpLine::Complete()
 {
 	this->idle_since = this->scheduler.Now();
-	if (!this->reader->KeepAlive() || this->reader->Excess() || !this->unsent.empty()) {
+	if (!this->reader->KeepAlive() || this->reader->HasExcess() || !this->unsent.empty()) {
 		this->Close();
 	}
 	std::exchange(this->events, nullptr)->OnAnswer(this->status, std::move(this->body));
--- a/src/net/http_line.h
+++ b/src/net/http_line.h
@@ -25,7 +25,7 @@
  * A connection that carries one call at a time. Straight over the socket: an owner makes thousands of small calls a
  * second, and QTcpSocket's buffers, signals and state changes cost it more than the calls themselves.
  */
-class HttpLine : public AnswerParts {
+class HttpLine : public ResponseHandler {
 public:
 	/** @param scheduler Clock and timers of this thread. @param to The other end. @param connect_wait A connection that
 	 * does not stand by then has failed. */
@@ -53,7 +53,7 @@
 	bool sent = false;                         ///< Whether a byte of the call was offered to the socket.
 	std::unique_ptr<QSocketNotifier> readable; ///< Tells of bytes.
 	std::unique_ptr<QSocketNotifier> writable; ///< Tells that it is connected, or of room.
-	std::unique_ptr<AnswerReader> reader;      ///< Reads the answer of the call under way.
+	std::unique_ptr<ResponseReader> reader;    ///< Reads the answer of the call under way.
 	HttpLineEvents *events = nullptr;          ///< Gets what becomes of the call under way.
 	std::string unsent;                        ///< What is left of the request.
 	int status = 0;                            ///< Of the answer.
--- a/src/net/qt_scheduler.cpp
+++ b/src/net/qt_scheduler.cpp
@@ -75,7 +75,7 @@
 	}
 }
 
-Millis QtScheduler::PausedAt()
+Millis QtScheduler::ResumedAt()
 {
 	/* A socket may be served before the timers that are overdue. */
 	this->NotePause();
--- a/src/net/qt_scheduler.h
+++ b/src/net/qt_scheduler.h
@@ -25,7 +25,7 @@
 	 * Notices pauses of the process: timers that run much too late.
 	 * @return When the process last went on after a pause.
 	 */
-	[[nodiscard]] Millis PausedAt();
+	[[nodiscard]] Millis ResumedAt();
 
 	/** @return Object that lives on the scheduler's thread. */
 	[[nodiscard]] QObject *Context() { return &this->context; }
@@ -45,7 +45,7 @@
 	uint64_t last_id = 0;                        ///< Last timer handed out.
 	std::map<Due, std::function<void()>> timers; ///< What is to run, in order.
 	std::map<TimerId, Millis> due;               ///< Moment of each, for Cancel().
-	Millis paused_at{-1000000};                  ///< For PausedAt(); long ago at the start.
+	Millis paused_at{-1000000};                  ///< For ResumedAt(); long ago at the start.
 	Millis armed;                                ///< Moment for which the Qt timer is set.
 
 	void Arm();
--- a/src/node/config_peers.cpp
+++ b/src/node/config_peers.cpp
@@ -18,7 +18,7 @@
 				this->OnAnswer(*answer);
 			}
 		};
-		client->on_up = [this, address] {
+		client->on_connected = [this, address] {
 			for (auto &[number, request] : this->pending) {
 				if (request.address == address && !request.sent) {
 					this->Send(number, request);
--- a/src/node/owner_lookup.cpp
+++ b/src/node/owner_lookup.cpp
@@ -215,7 +215,7 @@
 			this->peers.at(address).last_heard_at = this->scheduler.Now();
 			this->OnFrame(message);
 		};
-		peer.client->on_up = [this, address] {
+		peer.client->on_connected = [this, address] {
 			for (auto &[number, pending] : this->pending) {
 				if (pending.asked_node == address) {
 					this->Send(number);
--- a/tests/test_event_loop.cpp
+++ b/tests/test_event_loop.cpp
@@ -180,9 +180,9 @@
 {
 	const auto *loop = dynamic_cast<EpollDispatcher *>(QCoreApplication::eventDispatcher());
 	REQUIRE(loop != nullptr);
-	const auto before = loop->Waited();
+	const auto before = loop->IdleTime();
 	bool rung = false;
 	QTimer::singleShot(50, [&rung] { rung = true; });
 	CHECK(RunUntil([&rung] { return rung; }));
-	CHECK(loop->Waited() > before);
+	CHECK(loop->IdleTime() > before);
 }
--- a/tests/test_http_codec.cpp
+++ b/tests/test_http_codec.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /** Collects the parts of an answer. */
-struct Parts : public AnswerParts {
+struct Parts : public ResponseHandler {
 	void OnHead(ResponseHead it) override { this->head = std::move(it); }
 	void OnBody(std::string_view data) override { this->body.append(data); }
 
@@ -41,7 +41,7 @@
 		for (const size_t piece : {size_t{1}, size_t{7}, size_t{4096}}) {
 			CAPTURE(text);
 			CAPTURE(piece);
-			AnswerReader reader(false);
+			ResponseReader reader(false);
 			Parts parts;
 			for (size_t i = 0; i < text.size(); i += piece) {
 				CHECK_FALSE(reader.Done());
@@ -49,7 +49,7 @@
 			}
 			CHECK(reader.Done());
 			CHECK(reader.KeepAlive());
-			CHECK_FALSE(reader.Excess());
+			CHECK_FALSE(reader.HasExcess());
 			CHECK(parts.head.status == 200);
 			CHECK(parts.body == "hello");
 		}
@@ -58,31 +58,31 @@
 
 TEST_CASE("an answer that ends early is not whole")
 {
-	AnswerReader cut(false);
+	ResponseReader cut(false);
 	Parts parts;
 	REQUIRE(cut.Read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", parts));
 	CHECK_FALSE(cut.Eof());
-	AnswerReader chunks(false);
+	ResponseReader chunks(false);
 	REQUIRE(chunks.Read("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n", parts));
 	CHECK_FALSE(chunks.Eof());
-	AnswerReader by_close(false);
+	ResponseReader by_close(false);
 	REQUIRE(by_close.Read("HTTP/1.1 200 OK\r\n\r\nhel", parts));
 	CHECK(by_close.Eof());
-	AnswerReader nothing(false);
+	ResponseReader nothing(false);
 	CHECK_FALSE(nothing.Eof());
 }
 
 TEST_CASE("an answer to HEAD has no body, and bytes behind an answer spoil the connection")
 {
-	AnswerReader head(true);
+	ResponseReader head(true);
 	Parts parts;
 	REQUIRE(head.Read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", parts));
 	CHECK(head.Done());
-	AnswerReader excess(false);
+	ResponseReader excess(false);
 	REQUIRE(excess.Read("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nabc", parts));
 	CHECK(excess.Done());
-	CHECK(excess.Excess());
-	AnswerReader garbage(false);
+	CHECK(excess.HasExcess());
+	ResponseReader garbage(false);
 	CHECK_FALSE(garbage.Read("nonsense\r\n\r\n", parts));
 }
 
@@ -180,10 +180,10 @@
 
 	ResponseHead head;
 	head.headers.Add("A", "b");
-	AnswerReader answer(false);
+	ResponseReader answer(false);
 	Parts parts;
-	const std::string bytes = WriteAnswerHead(head, BodyFraming::BF_CHUNKS, true) + WriteChunk("hel") +
-							  WriteChunk("lo") + std::string(LastChunk());
+	const std::string bytes = WriteResponseHead(head, BodyFraming::BF_CHUNKS, true) + WriteChunk("hel") +
+							  WriteChunk("lo") + std::string(FinalChunk());
 	REQUIRE(answer.Read(bytes, parts));
 	CHECK(answer.Done());
 	CHECK(parts.body == "hello");
--- a/tests/test_suspended.cpp
+++ b/tests/test_suspended.cpp
@@ -93,11 +93,11 @@
 	std::vector<Millis> rung;
 	scheduler.After(Millis(20), [&] { rung.push_back(scheduler.Now()); });
 	const TimerId later = scheduler.After(Millis(60000), [&] { rung.push_back(Millis(0)); });
-	CHECK(scheduler.PausedAt() < Millis(0));
+	CHECK(scheduler.ResumedAt() < Millis(0));
 	/* Asleep for 5 s: the timer is overdue, but hasn't run when a socket is served. */
 	clock.now = Millis(6000);
 	CHECK(scheduler.Now() == Millis(6000));
-	CHECK(scheduler.PausedAt() == Millis(6000));
+	CHECK(scheduler.ResumedAt() == Millis(6000));
 	LoopFor(60);
 	CHECK(rung == std::vector<Millis>{Millis(6000)});
 	scheduler.Cancel(later);
