--- a/src/bench/capacity_bench.cpp
+++ b/src/bench/capacity_bench.cpp
@@ -30,7 +30,7 @@
 	const auto heap_before = static_cast<double>(mallinfo2().uordblks);
 	const auto begin = std::chrono::steady_clock::now();
 	for (const LogRecord &record : log) {
-		FoldRecord(folded.fleet, record);
+		ApplyRecord(folded.fleet, record);
 	}
 	const auto took = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count();
 	folded.us_a_record = took / static_cast<double>(log.size());
@@ -130,7 +130,7 @@
 		FleetState fleet;
 		const auto before = static_cast<double>(mallinfo2().uordblks);
 		for (const LogRecord &record : log) {
-			FoldRecord(fleet, record);
+			ApplyRecord(fleet, record);
 		}
 		return (static_cast<double>(mallinfo2().uordblks) - before) * n /
 			   static_cast<double>(std::max<size_t>(fleet.jobs.size(), 1));
--- a/src/bench/fold_bench.cpp
+++ b/src/bench/fold_bench.cpp
@@ -25,14 +25,14 @@
 	uint64_t proposals = 0;
 	uint64_t refused = 0;
 	for (const LogRecord &record : log) {
-		for (const Decision &it : FoldRecord(fleet, record)) {
+		for (const Decision &it : ApplyRecord(fleet, record)) {
 			proposals++;
 			refused += it.result.Ok() ? 0 : 1;
 		}
 	}
 	const double fold_ms = MillisecondsSince(begin);
 	const auto slow_begin = std::chrono::steady_clock::now();
-	const bool same = fleet.SlowHash() == fleet.Hash();
+	const bool same = fleet.RecomputeHash() == fleet.Hash();
 	const double slow_ms = MillisecondsSince(slow_begin);
 	const auto pack_begin = std::chrono::steady_clock::now();
 	const std::string bytes = PackSnapshot(fleet);
--- a/src/bench/maintain_bench.cpp
+++ b/src/bench/maintain_bench.cpp
@@ -90,7 +90,7 @@
 		const LogRecord record{LogOffset(++this->offset), this->now, EncodeBatch(batch)};
 		this->result.appends++;
 		this->result.bytes += record.bytes.size();
-		for (const Decision &it : FoldRecord(this->fleet, record)) {
+		for (const Decision &it : ApplyRecord(this->fleet, record)) {
 			this->result.rejected += it.result.Ok() ? 0 : 1;
 		}
 	}
@@ -221,7 +221,7 @@
 			}
 			const auto box = this->fleet.boxes.find(job.box);
 			if (box->second.epoch != job.box_epoch) {
-				this->Report(proposals, job, JobOutcome::JO_LAPSED);
+				this->Report(proposals, job, JobOutcome::JO_LEASE_EXPIRED);
 			} else if (const auto end = this->job_ends.find(name);
 					   end != this->job_ends.end() && end->second <= this->now) {
 				this->Report(proposals, job, JobOutcome::JO_DONE);
@@ -252,10 +252,10 @@
 		uint64_t idle = 0;
 		uint64_t all = 0;
 		uint64_t bound = 0;
-		for (const auto &[name, pool] : PicturesOf(this->fleet)) {
+		for (const auto &[name, pool] : PoolModelsOf(this->fleet)) {
 			const PoolFloors floors = FloorsOf(pool);
 			const PoolCapacity capacity = CapacityOf(pool);
-			PoolPicture without_plan = pool;
+			PoolModel without_plan = pool;
 			uint64_t planned_down = 0;
 			for (Box &box : without_plan.boxes) {
 				all += box.slots.Value();
--- a/src/bench/optimum_bench.cpp
+++ b/src/bench/optimum_bench.cpp
@@ -21,9 +21,9 @@
 	std::vector<uint32_t> floors; ///< Floor of each pool's service.
 };
 
-PoolPicture PictureOfPool(const Small &small, const std::vector<uint32_t> &assignment, uint32_t pool)
+PoolModel PictureOfPool(const Small &small, const std::vector<uint32_t> &assignment, uint32_t pool)
 {
-	PoolPicture picture;
+	PoolModel picture;
 	picture.name = PoolName(PoolOf(pool));
 	ServiceRow row;
 	row.service = ServiceName(ServiceOf(pool));
@@ -43,7 +43,7 @@
 bool Holds(const Small &small, const std::vector<uint32_t> &assignment)
 {
 	for (uint32_t pool = 0; pool < POOLS; pool++) {
-		const PoolPicture picture = PictureOfPool(small, assignment, pool);
+		const PoolModel picture = PictureOfPool(small, assignment, pool);
 		if (!FloorsHold(CapacityOf(picture), FloorsOf(picture), true)) {
 			return false;
 		}
--- a/src/bench/strategy.cpp
+++ b/src/bench/strategy.cpp
@@ -22,7 +22,7 @@
 	std::vector<Proposal> Step(const FleetState &fleet, const PlannerInputs &inputs) override
 	{
 		std::vector<Proposal> proposals = this->Register(fleet, inputs);
-		PoolDraft draft = PicturesOf(fleet);
+		PoolDraft draft = PoolModelsOf(fleet);
 		const auto take = [&](std::vector<Proposal> more) { std::ranges::move(more, std::back_inserter(proposals)); };
 		take(PlanSteps(fleet, inputs));
 		take(PlanDrains(fleet, nullptr, inputs));
@@ -54,7 +54,7 @@
 	{
 		/* Our own registration, with another choice of the pool. */
 		std::vector<Proposal> proposals = PlanList(fleet, inputs.list);
-		PoolDraft draft = PicturesOf(fleet);
+		PoolDraft draft = PoolModelsOf(fleet);
 		for (Proposal &it : proposals) {
 			auto *record = it->change.AsBoxRegister();
 			if (record == nullptr || fleet.boxes.contains(BoxName(record->box))) {
@@ -120,12 +120,12 @@
 			if (FloorsHold(CapacityOf(pool), FloorsOf(pool), true)) {
 				continue;
 			}
-			auto donors = std::vector<PoolPicture *>();
+			auto donors = std::vector<PoolModel *>();
 			for (auto &[other, it] : draft) {
 				donors.push_back(&it);
 			}
-			std::ranges::sort(donors, std::greater(), [](const PoolPicture *it) { return it->boxes.size(); });
-			for (PoolPicture *donor : donors) {
+			std::ranges::sort(donors, std::greater(), [](const PoolModel *it) { return it->boxes.size(); });
+			for (PoolModel *donor : donors) {
 				const auto can_go = [&](const Box &box) {
 					return TakesWork(box) && box.purpose == PermitPurpose::PP_NONE &&
 						   CheckBudget(*donor, box, false).Ok();
--- a/src/fleet/box_cmd.cpp
+++ b/src/fleet/box_cmd.cpp
@@ -24,11 +24,11 @@
 		StepRule{BoxStepKind::BK_EMPTIED, BoxState::BS_DRAINING, BoxState::BS_DRAINING, BoxState::BS_EMPTY, false,
 				 true},
 		StepRule{BoxStepKind::BK_REBOOT, BoxState::BS_EMPTY, BoxState::BS_EMPTY, BoxState::BS_REBOOTING, false, true},
-		StepRule{BoxStepKind::BK_BACK, BoxState::BS_REBOOTING, BoxState::BS_REBOOTING, BoxState::BS_VERIFYING, false,
+		StepRule{BoxStepKind::BK_BOOTED, BoxState::BS_REBOOTING, BoxState::BS_REBOOTING, BoxState::BS_VERIFYING, false,
 				 true},
 		StepRule{BoxStepKind::BK_VERIFIED, BoxState::BS_VERIFYING, BoxState::BS_VERIFYING, BoxState::BS_SERVING, true,
 				 true},
-		StepRule{BoxStepKind::BK_FLIP, BoxState::BS_EMPTY, BoxState::BS_EMPTY, BoxState::BS_SERVING, true, true},
+		StepRule{BoxStepKind::BK_CHANGE_POOL, BoxState::BS_EMPTY, BoxState::BS_EMPTY, BoxState::BS_SERVING, true, true},
 		StepRule{BoxStepKind::BK_WITHDRAW, BoxState::BS_DRAINING, BoxState::BS_EMPTY, BoxState::BS_SERVING, true, true},
 		StepRule{BoxStepKind::BK_SET_ASIDE, BoxState::BS_VERIFYING, BoxState::BS_REBOOTING, BoxState::BS_SET_ASIDE,
 				 true, true},
@@ -75,7 +75,7 @@
  */
 void ApplyStep(Box &box, const StepRule &rule, Millis now)
 {
-	if (rule.step == BoxStepKind::BK_FLIP) {
+	if (rule.step == BoxStepKind::BK_CHANGE_POOL) {
 		box.pool = box.move_to;
 		box.epoch = BoxEpoch(box.epoch.Value() + 1);
 	}
@@ -195,7 +195,7 @@
 	}
 	/* A box that takes no work anyway costs no budget. */
 	if (TakesWork(box)) {
-		if (Result budget = CheckBudget(PictureOf(fleet, box.pool), box, it.urgent); !budget.Ok()) {
+		if (Result budget = CheckBudget(PoolModelOf(fleet, box.pool), box, it.urgent); !budget.Ok()) {
 			return budget;
 		}
 	}
@@ -226,13 +226,13 @@
 	if (rule->needs_permit && (it.permit == 0 || next.permit.Value() != it.permit)) {
 		return {ResultCode::RC_WRONG_PERMIT, it.box};
 	}
-	const PermitPurpose wanted = rule->step == BoxStepKind::BK_FLIP     ? PermitPurpose::PP_MOVE
-								 : rule->step == BoxStepKind::BK_REBOOT ? PermitPurpose::PP_MAINTAIN
-																		: next.purpose;
+	const PermitPurpose wanted = rule->step == BoxStepKind::BK_CHANGE_POOL ? PermitPurpose::PP_MOVE
+								 : rule->step == BoxStepKind::BK_REBOOT    ? PermitPurpose::PP_MAINTAIN
+																		   : next.purpose;
 	if ((next.state != rule->from && next.state != rule->or_from) || next.purpose != wanted) {
 		return {ResultCode::RC_WRONG_STATE, it.box};
 	}
-	if (rule->step == BoxStepKind::BK_FLIP && !IsPool(fleet, next.move_to)) {
+	if (rule->step == BoxStepKind::BK_CHANGE_POOL && !IsPool(fleet, next.move_to)) {
 		return {ResultCode::RC_UNKNOWN_POOL, next.move_to.Value()};
 	}
 	if (rule->step == BoxStepKind::BK_EMPTIED) {
--- a/src/fleet/budget_func.cpp
+++ b/src/fleet/budget_func.cpp
@@ -56,7 +56,7 @@
  * @param box The box; not counted itself.
  * @return The counts.
  */
-DownCount DownBeside(const PoolPicture &pool, const Box &box)
+DownCount DownBeside(const PoolModel &pool, const Box &box)
 {
 	DownCount down;
 	for (const Box &it : pool.boxes) {
@@ -91,9 +91,9 @@
 	return box.state == BoxState::BS_SERVING && box.health == BoxHealth::BH_UP;
 }
 
-PoolPicture PictureOf(const FleetState &fleet, const PoolName &pool)
+PoolModel PoolModelOf(const FleetState &fleet, const PoolName &pool)
 {
-	PoolPicture picture;
+	PoolModel picture;
 	picture.name = pool;
 	for (const auto &[service, row] : fleet.rows) {
 		if (row.pool == pool) {
@@ -108,9 +108,9 @@
 	return picture;
 }
 
-std::map<PoolName, PoolPicture> PicturesOf(const FleetState &fleet)
+std::map<PoolName, PoolModel> PoolModelsOf(const FleetState &fleet)
 {
-	std::map<PoolName, PoolPicture> pictures;
+	std::map<PoolName, PoolModel> pictures;
 	for (const auto &[service, row] : fleet.rows) {
 		pictures[row.pool].rows.push_back(row);
 	}
@@ -123,7 +123,7 @@
 	return pictures;
 }
 
-PoolCapacity CapacityOf(const PoolPicture &pool, const BoxName *without)
+PoolCapacity CapacityOf(const PoolModel &pool, const BoxName *without)
 {
 	PoolCapacity capacity;
 	DomainSums racks;
@@ -143,7 +143,7 @@
 	return capacity;
 }
 
-PoolFloors FloorsOf(const PoolPicture &pool)
+PoolFloors FloorsOf(const PoolModel &pool)
 {
 	PoolFloors floors;
 	for (const ServiceRow &row : pool.rows) {
@@ -175,7 +175,7 @@
 	return headroom;
 }
 
-Result CheckBudget(const PoolPicture &pool, const Box &box, bool urgent)
+Result CheckBudget(const PoolModel &pool, const Box &box, bool urgent)
 {
 	const PoolCapacity after = CapacityOf(pool, &box.name);
 	const PoolFloors floors = FloorsOf(pool);
--- a/src/fleet/budget_func.h
+++ b/src/fleet/budget_func.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 /** A pool as budgets see it. Planners change the copies of the boxes to see where a step would lead. */
-struct PoolPicture {
+struct PoolModel {
 	PoolName name;                ///< The pool.
 	std::vector<ServiceRow> rows; ///< Services that it serves.
 	std::vector<Box> boxes;       ///< Its boxes, by name.
@@ -47,14 +47,14 @@
  * @param pool A pool.
  * @return The pool with its boxes and services.
  */
-PoolPicture PictureOf(const FleetState &fleet, const PoolName &pool);
+PoolModel PoolModelOf(const FleetState &fleet, const PoolName &pool);
 
 /**
  * All pools in one pass: those that rows name and those that boxes are in.
  * @param fleet The state.
  * @return Pictures by pool.
  */
-std::map<PoolName, PoolPicture> PicturesOf(const FleetState &fleet);
+std::map<PoolName, PoolModel> PoolModelsOf(const FleetState &fleet);
 
 /**
  * Capacity of a pool.
@@ -62,13 +62,13 @@
  * @param without A box counted as down, or null.
  * @return Sums over boxes that take work.
  */
-PoolCapacity CapacityOf(const PoolPicture &pool, const BoxName *without = nullptr);
+PoolCapacity CapacityOf(const PoolModel &pool, const BoxName *without = nullptr);
 
 /**
  * @param pool The pool.
  * @return Floors of its services.
  */
-PoolFloors FloorsOf(const PoolPicture &pool);
+PoolFloors FloorsOf(const PoolModel &pool);
 
 /**
  * @param capacity Capacity of a pool.
@@ -94,6 +94,6 @@
  * @param urgent Whether the permit is of the urgent class.
  * @return RC_OK, RC_BUDGET_FLOOR, RC_BUDGET_ZONE or RC_BUDGET_RACK.
  */
-Result CheckBudget(const PoolPicture &pool, const Box &box, bool urgent);
+Result CheckBudget(const PoolModel &pool, const Box &box, bool urgent);
 
 #endif /* BUDGET_FUNC_H */
--- a/src/fleet/fleet_base.h
+++ b/src/fleet/fleet_base.h
@@ -101,7 +101,7 @@
 	void Rebuild();
 
 	/** @return Hash computed from all entities, to check the running one. */
-	[[nodiscard]] uint64_t SlowHash() const;
+	[[nodiscard]] uint64_t RecomputeHash() const;
 
 private:
 	uint64_t entity_sum = 0; ///< Sum of the hashes of all entities.
--- a/src/fleet/fleet_func.cpp
+++ b/src/fleet/fleet_func.cpp
@@ -135,9 +135,9 @@
 	return std::unique_ptr<BatchT>(flatbuffers::GetRoot<glade::wire::Batch>(data)->UnPack());
 }
 
-std::vector<Decision> FoldRecord(FleetState &fleet, const LogRecord &record)
+std::vector<Decision> ApplyRecord(FleetState &fleet, const LogRecord &record)
 {
-	if (record.offset <= fleet.offset || !KnowsRules(fleet)) {
+	if (record.offset <= fleet.offset || !SupportsRules(fleet)) {
 		return {};
 	}
 	fleet.offset = record.offset;
--- a/src/fleet/fleet_func.h
+++ b/src/fleet/fleet_func.h
@@ -55,7 +55,7 @@
  * @param fleet The state.
  * @return Whether this program knows the rules in force.
  */
-inline bool KnowsRules(const FleetState &fleet)
+inline bool SupportsRules(const FleetState &fleet)
 {
 	return fleet.rule_version <= RULE_VERSION_NEWEST;
 }
@@ -66,7 +66,7 @@
  * @param record The record.
  * @return A decision per proposal, in order.
  */
-std::vector<Decision> FoldRecord(FleetState &fleet, const LogRecord &record);
+std::vector<Decision> ApplyRecord(FleetState &fleet, const LogRecord &record);
 
 /**
  * Applies one change: the same code for a test run and for the fold.
--- a/src/fleet/fleet_hash.cpp
+++ b/src/fleet/fleet_hash.cpp
@@ -148,7 +148,7 @@
 		   SumOf(this->writers) + SumOf(this->teams) + SumOf(this->jobs);
 }
 
-uint64_t FleetState::SlowHash() const
+uint64_t FleetState::RecomputeHash() const
 {
 	FleetState copy;
 	copy.rule_version = this->rule_version;
--- a/src/fleet/fleet_type.h
+++ b/src/fleet/fleet_type.h
@@ -34,14 +34,14 @@
 
 /** Steps of a box under a permit. */
 enum class BoxStepKind : uint8_t {
-	BK_EMPTIED = 1,   ///< Zone confirms: drained.
-	BK_REBOOT = 2,    ///< Reboot is about to be ordered; from here on the permit can't be withdrawn.
-	BK_BACK = 3,      ///< The box is listed again with a new boot.
-	BK_VERIFIED = 4,  ///< Checks passed: the permit ends.
-	BK_FLIP = 5,      ///< An empty box changes its pool: the permit ends.
-	BK_WITHDRAW = 6,  ///< Not rebooted yet: the permit ends, the box serves again.
-	BK_SET_ASIDE = 7, ///< Checks failed or work fails on it.
-	BK_RESTORE = 8,   ///< A box set aside comes back into use.
+	BK_EMPTIED = 1,     ///< Zone confirms: drained.
+	BK_REBOOT = 2,      ///< Reboot is about to be ordered; from here on the permit can't be withdrawn.
+	BK_BOOTED = 3,      ///< The box is listed again with a new boot.
+	BK_VERIFIED = 4,    ///< Checks passed: the permit ends.
+	BK_CHANGE_POOL = 5, ///< An empty box changes its pool: the permit ends.
+	BK_WITHDRAW = 6,    ///< Not rebooted yet: the permit ends, the box serves again.
+	BK_SET_ASIDE = 7,   ///< Checks failed or work fails on it.
+	BK_RESTORE = 8,     ///< A box set aside comes back into use.
 };
 
 /** Classes of work, most urgent first. */
@@ -77,12 +77,12 @@
 
 /** How an attempt at a job ended. */
 enum class JobOutcome : uint8_t {
-	JO_DONE = 0,       ///< Ran to its end.
-	JO_FAILED = 1,     ///< Ran and failed.
-	JO_NOT_RUN = 2,    ///< Certainly never started.
-	JO_CHECKPOINT = 3, ///< Stopped at a checkpoint, to make room; goes on from there.
-	JO_LAPSED = 4,     ///< The lease lapsed; whether it runs is unknown.
-	JO_STOPPED = 5,    ///< The holder confirms that a lapsed attempt has ended unfinished.
+	JO_DONE = 0,          ///< Ran to its end.
+	JO_FAILED = 1,        ///< Ran and failed.
+	JO_NOT_RUN = 2,       ///< Certainly never started.
+	JO_CHECKPOINT = 3,    ///< Stopped at a checkpoint, to make room; goes on from there.
+	JO_LEASE_EXPIRED = 4, ///< The lease lapsed; whether it runs is unknown.
+	JO_STOPPED = 5,       ///< The holder confirms that a lapsed attempt has ended unfinished.
 };
 
 /** A box as the fold knows it. Times are the log's own stamps. */
--- a/src/fleet/job_cmd.cpp
+++ b/src/fleet/job_cmd.cpp
@@ -65,7 +65,7 @@
 		return JobState::JS_DONE;
 	case JobOutcome::JO_FAILED:
 		return !job.repeatable || job.failed_on.size() >= FAILURES_TO_PARK ? JobState::JS_PARKED : JobState::JS_WAITING;
-	case JobOutcome::JO_LAPSED:
+	case JobOutcome::JO_LEASE_EXPIRED:
 		return job.repeatable ? JobState::JS_WAITING : JobState::JS_UNKNOWN;
 	case JobOutcome::JO_STOPPED:
 		return job.repeatable ? JobState::JS_WAITING : JobState::JS_PARKED;
@@ -168,7 +168,7 @@
 		return {ResultCode::RC_MALFORMED, "outcome " + std::to_string(it.outcome)};
 	}
 	const auto outcome = static_cast<JobOutcome>(it.outcome);
-	const bool after_lapse = job.state == JobState::JS_UNKNOWN && outcome != JobOutcome::JO_LAPSED;
+	const bool after_lapse = job.state == JobState::JS_UNKNOWN && outcome != JobOutcome::JO_LEASE_EXPIRED;
 	if ((job.state != JobState::JS_PLACED && !after_lapse) || job.attempt != it.attempt) {
 		return {ResultCode::RC_JOB_STATE, it.job};
 	}
--- a/src/keeper/keeper_dump.cpp
+++ b/src/keeper/keeper_dump.cpp
@@ -66,7 +66,7 @@
 QJsonArray Pools(const KeeperCore &core)
 {
 	QJsonArray rows;
-	for (const auto &[name, pool] : PicturesOf(core.State())) {
+	for (const auto &[name, pool] : PoolModelsOf(core.State())) {
 		const PoolCapacity capacity = CapacityOf(pool);
 		const PoolFloors floors = FloorsOf(pool);
 		QJsonObject row;
@@ -96,7 +96,7 @@
 QJsonArray Budgets(const KeeperCore &core)
 {
 	QJsonArray rows;
-	for (const auto &[name, pool] : PicturesOf(core.State())) {
+	for (const auto &[name, pool] : PoolModelsOf(core.State())) {
 		for (const Box &box : pool.boxes) {
 			const Result result = TakesWork(box) ? CheckBudget(pool, box, false) : Result();
 			QJsonObject row;
@@ -184,7 +184,7 @@
 		const uint64_t permit = box->second.permit.Value();
 		row["granted_by_offset"] = Number(permit / PERMITS_A_RECORD);
 		row["state_since_ms"] = Number(static_cast<uint64_t>(box->second.since.Value()));
-		const Result budget = CheckBudget(PictureOf(core.State(), box->second.pool), box->second, false);
+		const Result budget = CheckBudget(PoolModelOf(core.State(), box->second.pool), box->second, false);
 		row["may_go_down"] = budget.Ok() ? QString("yes") : Text(budget.Text());
 		rows.append(row);
 	}
--- a/src/keeper/plan_desk.cpp
+++ b/src/keeper/plan_desk.cpp
@@ -192,7 +192,7 @@
 		}
 		const auto box = this->core.State().boxes.find(job.box);
 		const bool lost = box == this->core.State().boxes.end() || box->second.epoch != job.box_epoch;
-		const JobEnd end{name, job.attempt, JobOutcome::JO_LAPSED};
+		const JobEnd end{name, job.attempt, JobOutcome::JO_LEASE_EXPIRED};
 		if (lost && !this->reported.contains(end)) {
 			this->OnEnds({end});
 		}
--- a/src/log/log_tail.cpp
+++ b/src/log/log_tail.cpp
@@ -23,7 +23,7 @@
 
 bool LogTail::Adopt(FleetState state)
 {
-	if (state.offset <= this->fleet.offset || !KnowsRules(state)) {
+	if (state.offset <= this->fleet.offset || !SupportsRules(state)) {
 		return false;
 	}
 	this->fleet = std::move(state);
@@ -71,7 +71,7 @@
 	for (const LogRecord &record : answer.records) {
 		this->Take(record);
 	}
-	if (!KnowsRules(this->fleet)) {
+	if (!SupportsRules(this->fleet)) {
 		this->phase = TailPhase::TP_HALTED;
 		return;
 	}
@@ -100,7 +100,7 @@
 	this->next = LogOffset(record.offset.Value() + 1);
 	this->collector.Add(record);
 	if (this->phase == TailPhase::TP_FOLLOWING) {
-		const std::vector<Decision> decisions = FoldRecord(this->fleet, record);
+		const std::vector<Decision> decisions = ApplyRecord(this->fleet, record);
 		this->on_record(decisions);
 	}
 }
--- a/src/planner/planner_func.h
+++ b/src/planner/planner_func.h
@@ -6,7 +6,7 @@
 #include "planner_type.h"
 
 /** Pools by name, with the changes that this round of planning has proposed so far. */
-using PoolDraft = std::map<PoolName, PoolPicture>;
+using PoolDraft = std::map<PoolName, PoolModel>;
 
 /**
  * Proposes a permit and marks the box as draining in the draft.
--- a/src/planner/pool_plan.cpp
+++ b/src/planner/pool_plan.cpp
@@ -15,7 +15,7 @@
  * @param observed Observed use by pool, in slots.
  * @return Slots that the pool should be able to use.
  */
-uint64_t DemandOf(const PoolPicture &pool, const std::map<PoolName, uint64_t> &observed)
+uint64_t DemandOf(const PoolModel &pool, const std::map<PoolName, uint64_t> &observed)
 {
 	const uint64_t floors = FloorsOf(pool).All();
 	const auto it = observed.find(pool.name);
@@ -34,9 +34,9 @@
  * @param failed_after Boxes that failed after this log time count as coming back.
  * @return The projected copy of the pool.
  */
-PoolPicture ProjectPool(const PoolDraft &draft, const PoolPicture &pool, Millis failed_after)
+PoolModel ProjectPool(const PoolDraft &draft, const PoolModel &pool, Millis failed_after)
 {
-	PoolPicture projected = pool;
+	PoolModel projected = pool;
 	for (Box &box : projected.boxes) {
 		const bool maintained = box.purpose == PermitPurpose::PP_MAINTAIN;
 		const bool failed_just_now = box.health != BoxHealth::BH_UP && box.health_since >= failed_after;
@@ -64,7 +64,7 @@
  * @param spare_boxes Boxes that maintenance may take at once.
  * @return Spare slots; negative when slots are missing.
  */
-int64_t MarginOf(const PoolPicture &pool, uint64_t demand, uint32_t spare_boxes)
+int64_t MarginOf(const PoolModel &pool, uint64_t demand, uint32_t spare_boxes)
 {
 	const PoolCapacity capacity = CapacityOf(pool);
 	const PoolFloors floors = FloorsOf(pool);
@@ -85,7 +85,7 @@
  * @param box The box; it counts too if it is in the pool.
  * @return The slots.
  */
-DomainSlots CountDomainSlots(const PoolPicture &pool, const Box &box)
+DomainSlots CountDomainSlots(const PoolModel &pool, const Box &box)
 {
 	DomainSlots slots;
 	for (const Box &it : pool.boxes) {
@@ -99,7 +99,7 @@
 }
 
 /** @return Sum of the weights of a pool's services. @param pool The pool. */
-uint64_t WeightOf(const PoolPicture &pool)
+uint64_t WeightOf(const PoolModel &pool)
 {
 	uint64_t weight = 0;
 	for (const ServiceRow &row : pool.rows) {
@@ -125,7 +125,7 @@
  * @param spare_boxes Boxes that maintenance may take at once.
  * @return Slots.
  */
-uint64_t NeedOf(const PoolPicture &pool, uint64_t demand, const DomainCounts &counts, uint32_t spare_boxes)
+uint64_t NeedOf(const PoolModel &pool, uint64_t demand, const DomainCounts &counts, uint32_t spare_boxes)
 {
 	const PoolFloors floors = FloorsOf(pool);
 	const auto slots_to_survive = [](uint64_t slots, uint64_t domains) {
@@ -207,7 +207,7 @@
  * @param zones Number of availability zones of the fleet.
  * @return The fullness.
  */
-Fullness FullnessOf(const PoolPicture &pool, const Box &box, uint64_t target, uint64_t zones)
+Fullness FullnessOf(const PoolModel &pool, const Box &box, uint64_t target, uint64_t zones)
 {
 	constexpr uint64_t MILLION = 1000000;
 	uint64_t all = 0;
@@ -293,9 +293,9 @@
 
 /** A possible move of a box. */
 struct MoveChoice {
-	PoolPicture *from = nullptr; ///< The donor.
-	Box *box = nullptr;          ///< The box.
-	int64_t score = 0;           ///< Larger is better.
+	PoolModel *from = nullptr; ///< The donor.
+	Box *box = nullptr;        ///< The box.
+	int64_t score = 0;         ///< Larger is better.
 };
 
 /**
@@ -305,9 +305,9 @@
  * @param box The box.
  * @return The score; larger is better.
  */
-int64_t MoveScore(const PoolPicture &donor, const PoolPicture &receiver, const Box &box)
+int64_t MoveScore(const PoolModel &donor, const PoolModel &receiver, const Box &box)
 {
-	const auto crowding = [&](const PoolPicture &pool) {
+	const auto crowding = [&](const PoolModel &pool) {
 		const DomainSlots slots = CountDomainSlots(pool, box);
 		return static_cast<int64_t>(2 * slots.in_zone + slots.in_rack);
 	};
@@ -322,13 +322,13 @@
 	Millis now;                                   ///< Log time.
 
 	/** @return The pool projected to the end of everything in progress. @param pool The pool. */
-	[[nodiscard]] PoolPicture Projected(const PoolPicture &pool) const
+	[[nodiscard]] PoolModel Projected(const PoolModel &pool) const
 	{
 		return ProjectPool(this->draft, pool, this->now - this->policy.failure_grace);
 	}
 
 	/** @return Slots of a pool above its demand and guards; negative when it is short. @param pool The pool. */
-	[[nodiscard]] int64_t Margin(const PoolPicture &pool) const
+	[[nodiscard]] int64_t Margin(const PoolModel &pool) const
 	{
 		return MarginOf(pool, DemandOf(pool, this->observed), 0);
 	}
@@ -336,8 +336,8 @@
 
 /** A pool with spare slots. */
 struct Donor {
-	PoolPicture *pool = nullptr; ///< The pool.
-	PoolPicture projected;       ///< The projected pool.
+	PoolModel *pool = nullptr; ///< The pool.
+	PoolModel projected;       ///< The projected pool.
 };
 
 /**
@@ -348,7 +348,7 @@
 {
 	std::vector<Donor> donors;
 	for (auto &[name, pool] : context.draft) {
-		PoolPicture projected = context.Projected(pool);
+		PoolModel projected = context.Projected(pool);
 		if (context.Margin(projected) > 0) {
 			donors.push_back(Donor{&pool, std::move(projected)});
 		}
@@ -363,7 +363,7 @@
  * @param receiver The pool that is short.
  * @return The choice; `box` is null when no donor can spare a box.
  */
-MoveChoice FindMove(const MoveContext &context, std::vector<Donor> &donors, const PoolPicture &receiver)
+MoveChoice FindMove(const MoveContext &context, std::vector<Donor> &donors, const PoolModel &receiver)
 {
 	MoveChoice best;
 	for (Donor &donor : donors) {
@@ -395,9 +395,9 @@
  * @param pool The pool.
  * @return Whether a box should be moved to it.
  */
-bool NeedsBox(const MoveContext &context, const PoolPicture &pool)
+bool NeedsBox(const MoveContext &context, const PoolModel &pool)
 {
-	const PoolPicture projected = context.Projected(pool);
+	const PoolModel projected = context.Projected(pool);
 	if (context.Margin(projected) < 0) {
 		return true;
 	}
@@ -422,12 +422,11 @@
  * @param targets Targets by pool, in slots.
  * @return The pool and how far it is below, in percent of its target; null and 0 when no pool is.
  */
-std::pair<PoolPicture *, uint64_t> FurthestBelow(const MoveContext &context,
-												 const std::map<PoolName, uint64_t> &targets)
+std::pair<PoolModel *, uint64_t> FurthestBelow(const MoveContext &context, const std::map<PoolName, uint64_t> &targets)
 {
-	std::pair<PoolPicture *, uint64_t> furthest = {nullptr, 0};
+	std::pair<PoolModel *, uint64_t> furthest = {nullptr, 0};
 	for (const auto &[name, target] : targets) {
-		const PoolPicture projected = context.Projected(context.draft.at(name));
+		const PoolModel projected = context.Projected(context.draft.at(name));
 		uint64_t slots = 0;
 		for (const Box &box : projected.boxes) {
 			slots += box.slots.Value();
@@ -493,7 +492,7 @@
 std::vector<Proposal> PlanList(const FleetState &fleet, const std::vector<ListedBox> &list)
 {
 	std::vector<Proposal> proposals;
-	PoolChooser chooser(PicturesOf(fleet), list);
+	PoolChooser chooser(PoolModelsOf(fleet), list);
 	for (const ListedBox &it : list) {
 		const auto known = fleet.boxes.find(it.name);
 		const bool changed = known == fleet.boxes.end() || known->second.zone != it.zone ||
--- a/src/planner/wave_plan.cpp
+++ b/src/planner/wave_plan.cpp
@@ -57,10 +57,11 @@
 {
 	switch (box.state) {
 	case BoxState::BS_EMPTY:
-		return MakeStep(box, box.purpose == PermitPurpose::PP_MOVE ? BoxStepKind::BK_FLIP : BoxStepKind::BK_REBOOT);
+		return MakeStep(box,
+						box.purpose == PermitPurpose::PP_MOVE ? BoxStepKind::BK_CHANGE_POOL : BoxStepKind::BK_REBOOT);
 	case BoxState::BS_REBOOTING:
 		if (listed != nullptr && listed->booted_for == box.permit && listed->health == BoxHealth::BH_UP) {
-			return MakeStep(box, BoxStepKind::BK_BACK);
+			return MakeStep(box, BoxStepKind::BK_BOOTED);
 		}
 		return nullptr;
 	case BoxState::BS_VERIFYING:
@@ -116,7 +117,7 @@
  * @param policy Policy, of which cycle and leads are used.
  * @return Queues: zones with a wave in progress first, then zones with more slots, then by deadline.
  */
-std::vector<ZoneQueue> QueuesOf(PoolPicture &pool, const FleetState &fleet, const PlannerPolicy &policy)
+std::vector<ZoneQueue> QueuesOf(PoolModel &pool, const FleetState &fleet, const PlannerPolicy &policy)
 {
 	std::map<ZoneName, ZoneQueue> queues;
 	for (Box &box : pool.boxes) {
@@ -167,7 +168,7 @@
  * @param policy Policy, of which the cycle is used.
  * @return Whether at most one box may be under maintenance.
  */
-bool NeedsCanary(const PoolPicture &pool, const FleetState &fleet, const PlannerPolicy &policy)
+bool NeedsCanary(const PoolModel &pool, const FleetState &fleet, const PlannerPolicy &policy)
 {
 	const Millis round_start = fleet.time - Millis(policy.cycle.Value() / 2);
 	return std::ranges::none_of(pool.boxes, [&](const Box &box) {
@@ -179,7 +180,7 @@
  * @param pool The pool.
  * @return Number of availability zones with boxes under maintenance.
  */
-uint32_t ZonesInProgress(const PoolPicture &pool)
+uint32_t ZonesInProgress(const PoolModel &pool)
 {
 	std::set<ZoneName> zones;
 	for (const Box &box : pool.boxes) {
@@ -198,7 +199,7 @@
  * @param[out] proposals Gets the grants.
  * @return Number of permits granted.
  */
-size_t GrantInZone(const PoolPicture &pool, const ZoneQueue &queue, size_t limit, std::vector<Proposal> &proposals)
+size_t GrantInZone(const PoolModel &pool, const ZoneQueue &queue, size_t limit, std::vector<Proposal> &proposals)
 {
 	size_t granted = 0;
 	for (const Candidate &it : queue.candidates) {
@@ -316,7 +317,7 @@
 std::vector<Proposal> PlanBoxes(const FleetState &fleet, const PlannerInputs &inputs, const PlannerPolicy &policy)
 {
 	std::vector<Proposal> proposals = PlanList(fleet, inputs.list);
-	PoolDraft draft = PicturesOf(fleet);
+	PoolDraft draft = PoolModelsOf(fleet);
 	const auto append = [&](std::vector<Proposal> more) { std::ranges::move(more, std::back_inserter(proposals)); };
 	std::vector<Proposal> withdrawals = PlanWithdrawals(draft);
 	const bool withdrew = !withdrawals.empty();
--- a/src/standin/memory/fleet_site.cpp
+++ b/src/standin/memory/fleet_site.cpp
@@ -406,7 +406,7 @@
 		}
 	}
 	for (const PoolName &pool : granted) {
-		const PoolPicture picture = PictureOf(fleet, pool);
+		const PoolModel picture = PoolModelOf(fleet, pool);
 		if (!FloorsHold(CapacityOf(picture), FloorsOf(picture), true)) {
 			this->Violation("a permit left pool " + pool.Value() + " without its floors and guards");
 		}
--- a/tests/fold_world.h
+++ b/tests/fold_world.h
@@ -36,7 +36,7 @@
 	{
 		this->now = this->now + Millis(10);
 		this->log.push_back(LogRecord{LogOffset(this->log.size() + 1), this->now, std::move(bytes)});
-		const std::vector<Decision> decisions = FoldRecord(this->fleet, this->log.back());
+		const std::vector<Decision> decisions = ApplyRecord(this->fleet, this->log.back());
 		return decisions.empty() ? ResultCode::RC_MALFORMED : decisions.front().result.code;
 	}
 
--- a/tests/test_fleet_matrix.cpp
+++ b/tests/test_fleet_matrix.cpp
@@ -234,7 +234,7 @@
 		}
 		CHECK(this->site.Agree());
 		const FleetState &fleet = this->site.Any().core.State();
-		CHECK(fleet.Hash() == fleet.SlowHash());
+		CHECK(fleet.Hash() == fleet.RecomputeHash());
 		for (const auto &it : fleet.boxes) {
 			const Box &box = it.second;
 			CAPTURE(box.name.Value());
--- a/tests/test_fold.cpp
+++ b/tests/test_fold.cpp
@@ -76,9 +76,9 @@
 	world.now = world.now - Millis(10);
 	CHECK(world.Append("nonsense") == RC_MALFORMED);
 	CHECK(world.Append("") == RC_MALFORMED);
-	CHECK(world.fleet.SlowHash() == world.fleet.Hash());
+	CHECK(world.fleet.RecomputeHash() == world.fleet.Hash());
 	(void)hash;
-	CHECK(FoldRecord(world.fleet, world.log.front()).empty());
+	CHECK(ApplyRecord(world.fleet, world.log.front()).empty());
 }
 
 TEST_CASE("table: cells merge, the later edit of the same cell is shown the winner")
@@ -171,12 +171,12 @@
 	CHECK(world.BoxOf("b0").state == BoxState::BS_DRAINING);
 	CHECK(world.Step("b0", BoxStepKind::BK_EMPTIED, {"entry-1"}) == RC_OK);
 	CHECK(world.BoxOf("b0").state == BoxState::BS_EMPTY);
-	CHECK(world.Step("b0", BoxStepKind::BK_FLIP) == RC_WRONG_STATE);
+	CHECK(world.Step("b0", BoxStepKind::BK_CHANGE_POOL) == RC_WRONG_STATE);
 	const uint64_t epoch = world.BoxOf("b0").epoch.Value();
 	CHECK(world.Step("b0", BoxStepKind::BK_REBOOT) == RC_OK);
 	CHECK(world.BoxOf("b0").epoch.Value() == epoch + 1);
 	CHECK(world.Step("b0", BoxStepKind::BK_WITHDRAW) == RC_WRONG_STATE);
-	CHECK(world.Step("b0", BoxStepKind::BK_BACK) == RC_OK);
+	CHECK(world.Step("b0", BoxStepKind::BK_BOOTED) == RC_OK);
 	CHECK(world.Step("b0", BoxStepKind::BK_VERIFIED) == RC_OK);
 	CHECK(world.BoxOf("b0").permit == PermitId());
 	CHECK(world.BoxOf("b0").last_maintained > Millis(0));
@@ -184,7 +184,7 @@
 	CHECK(world.Grant("b1", PermitPurpose::PP_MOVE, "q") == RC_OK);
 	CHECK(world.Step("b1", BoxStepKind::BK_EMPTIED, {"entry-1"}) == RC_OK);
 	CHECK(world.BoxOf("b1").pool == PoolName("p"));
-	CHECK(world.Step("b1", BoxStepKind::BK_FLIP) == RC_OK);
+	CHECK(world.Step("b1", BoxStepKind::BK_CHANGE_POOL) == RC_OK);
 	CHECK(world.BoxOf("b1").pool == PoolName("q"));
 }
 
@@ -258,7 +258,7 @@
 	CHECK(world.Do(std::move(join)) == RC_OK);
 	advance.version = 2;
 	CHECK(world.Do(advance) == RC_OK);
-	CHECK_FALSE(KnowsRules(world.fleet));
+	CHECK_FALSE(SupportsRules(world.fleet));
 	const LogOffset offset = world.fleet.offset;
 	world.Register("late", "p");
 	CHECK(world.fleet.offset == offset); /* This program halts rather than part from the others. */
@@ -284,11 +284,11 @@
 	CHECK(world.Do(std::move(stale)) == RC_STALE_EPOCH);
 	world.Health("b1", BoxHealth::BH_UP);
 	CHECK(world.Do(PlaceOf(world, "b", "b1", 1)) == RC_OK);
-	CHECK(world.Do(ReportOf("a", 1, JobOutcome::JO_LAPSED)) == RC_OK);
+	CHECK(world.Do(ReportOf("a", 1, JobOutcome::JO_LEASE_EXPIRED)) == RC_OK);
 	CHECK(StateOf(world, "a") == JobState::JS_UNKNOWN);
 	CHECK(world.Do(PlaceOf(world, "a", "b1", 2)) == RC_JOB_STATE);
 	CHECK(world.fleet.box_used.at(BoxName("b0")) == 6); /* Its holder may only be paused. */
-	CHECK(world.Do(ReportOf("b", 1, JobOutcome::JO_LAPSED)) == RC_OK);
+	CHECK(world.Do(ReportOf("b", 1, JobOutcome::JO_LEASE_EXPIRED)) == RC_OK);
 	CHECK(StateOf(world, "b") == JobState::JS_WAITING);
 	CHECK(world.Do(ReportOf("b", 1, JobOutcome::JO_DONE)) == RC_JOB_STATE);
 	CHECK(world.Do(ReportOf("a", 1, JobOutcome::JO_DONE)) == RC_OK);
--- a/tests/test_random_history.cpp
+++ b/tests/test_random_history.cpp
@@ -90,7 +90,7 @@
 /** What must hold after every record. */
 void CheckAlways(const FleetState &fleet, const FleetState &before)
 {
-	RC_ASSERT(fleet.Hash() == fleet.SlowHash());
+	RC_ASSERT(fleet.Hash() == fleet.RecomputeHash());
 	RC_ASSERT(fleet.table_version >= before.table_version);
 	std::map<TeamName, uint32_t> used;
 	for (const auto &[name, job] : fleet.jobs) {
@@ -120,7 +120,7 @@
 		}
 		const bool went_down_by_plan = old.state == BoxState::BS_SERVING && box.state == BoxState::BS_DRAINING;
 		if (went_down_by_plan && old.health == BoxHealth::BH_UP) {
-			const PoolPicture pool = PictureOf(fleet, box.pool);
+			const PoolModel pool = PoolModelOf(fleet, box.pool);
 			RC_ASSERT(FloorsHold(CapacityOf(pool), FloorsOf(pool), !box.urgent));
 		}
 	}
@@ -155,9 +155,9 @@
 		}
 		FleetState again;
 		for (const LogRecord &record : world.log) {
-			FoldRecord(again, record);
+			ApplyRecord(again, record);
 			if (joined) {
-				FoldRecord(*joined, record);
+				ApplyRecord(*joined, record);
 			}
 		}
 		RC_ASSERT(again.Hash() == world.fleet.Hash());
