--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -46,7 +46,7 @@
 	if (const std::optional<int> exit_code = ParseArguments(USAGE, "glade_bench", argc, argv, args); exit_code) {
 		return *exit_code;
 	}
-	UseFastEventLoop();
+	UseEpollEventLoop();
 	QCoreApplication app(argc, argv);
 	BenchOptions options;
 	options.preset = args["--preset"].asString();
--- a/src/event_log.h
+++ b/src/event_log.h
@@ -25,7 +25,7 @@
 };
 
 /** Drops all lines; for tests and benches. */
-class NoEventLog : public EventLog {
+class NullEventLog : public EventLog {
 public:
 	void Write(const char *, std::initializer_list<EventField>) override {}
 };
--- a/src/keeper/entry_desk.cpp
+++ b/src/keeper/entry_desk.cpp
@@ -8,13 +8,13 @@
 
 using namespace glade::wire;
 
-bool EntryDesk::IsMember(const MemberName &name, Incarnation incarnation) const
+bool EntryHandler::IsMember(const MemberName &name, Incarnation incarnation) const
 {
 	const auto it = this->core.State().members.find(name);
 	return it != this->core.State().members.end() && it->second.incarnation == incarnation;
 }
 
-void EntryDesk::OnHello(EntryChannel &channel, const EntryHelloT &hello)
+void EntryHandler::OnHello(EntryChannel &channel, const EntryHelloT &hello)
 {
 	Session &session = this->sessions[&channel];
 	session.name = MemberName(hello.member);
@@ -53,7 +53,7 @@
 	this->Lease(channel, hello);
 }
 
-bool EntryDesk::Witnessed(const MemberName &name) const
+bool EntryHandler::Witnessed(const MemberName &name) const
 {
 	/* Said, or about to be said: no lease until the member has joined again. */
 	const auto it = this->core.State().members.find(name);
@@ -61,7 +61,7 @@
 		   (it != this->core.State().members.end() && it->second.witnesses.contains(this->core.self.name.Value()));
 }
 
-std::vector<std::string> EntryDesk::HeardLately() const
+std::vector<std::string> EntryHandler::RecentlyHeardEntries() const
 {
 	std::vector<std::string> names;
 	const Millis lately = this->core.scheduler.Now() - this->core.times.lease;
@@ -73,12 +73,12 @@
 	return names;
 }
 
-void EntryDesk::OnDown(EntryChannel &channel)
+void EntryHandler::OnDown(EntryChannel &channel)
 {
 	this->sessions.erase(&channel);
 }
 
-void EntryDesk::Join(const EntryHelloT &hello)
+void EntryHandler::Join(const EntryHelloT &hello)
 {
 	Heard &it = this->heard[MemberName(hello.member)];
 	if (it.asked) {
@@ -99,7 +99,7 @@
 			[this, name = MemberName(hello.member)](const Decision &) { this->heard[name].asked = false; });
 }
 
-void EntryDesk::Leave(const Member &member, const MemberName &witness)
+void EntryHandler::Leave(const Member &member, const MemberName &witness)
 {
 	Heard &it = this->heard[member.name];
 	if (it.asked) {
@@ -117,7 +117,7 @@
 							 });
 }
 
-void EntryDesk::Lease(EntryChannel &channel, const EntryHelloT &hello)
+void EntryHandler::Lease(EntryChannel &channel, const EntryHelloT &hello)
 {
 	if (hello.view_version != this->version || hello.view_hash != this->view.hash) {
 		return;
@@ -137,7 +137,7 @@
 	channel.Send(message);
 }
 
-void EntryDesk::Push(EntryChannel &channel, Session &session)
+void EntryHandler::Push(EntryChannel &channel, Session &session)
 {
 	MessageUnion message;
 	if (session.sent.version == 0) {
@@ -150,7 +150,7 @@
 	channel.Send(message);
 }
 
-void EntryDesk::Refresh()
+void EntryHandler::Refresh()
 {
 	ViewT next = BuildView(this->core.State(), this->core.self.zone, this->core.list);
 	if (this->version != 0 && next.hash == this->view.hash && next.zone_changes == this->view.zone_changes) {
@@ -165,7 +165,7 @@
 	}
 }
 
-void EntryDesk::OnBeat(const KeeperBeatT &beat)
+void EntryHandler::OnKeeperBeat(const KeeperBeatT &beat)
 {
 	const Millis now = this->core.scheduler.Now();
 	this->keepers[MemberName(beat.member)] = KeeperNews{now, LogOffset(beat.offset), Millis(beat.log_age_ms)};
@@ -175,7 +175,7 @@
 	}
 }
 
-bool EntryDesk::Fresh() const
+bool EntryHandler::Fresh() const
 {
 	const Millis now = this->core.scheduler.Now();
 	if (this->core.tail.LastAnswer() + this->core.times.fresh > now) {
@@ -193,7 +193,7 @@
 	});
 }
 
-void EntryDesk::WatchLapses()
+void EntryHandler::ReportSilentMembers()
 {
 	const Millis now = this->core.scheduler.Now();
 	const Millis silent_since = now - this->core.times.lapse;
@@ -216,7 +216,7 @@
 	}
 }
 
-std::map<BoxName, std::vector<MemberName>> EntryDesk::Drained() const
+std::map<BoxName, std::vector<MemberName>> EntryHandler::Drained() const
 {
 	std::map<BoxName, std::vector<MemberName>> drained;
 	for (const auto &[channel, session] : this->sessions) {
--- a/src/keeper/entry_desk.h
+++ b/src/keeper/entry_desk.h
@@ -28,9 +28,9 @@
 };
 
 /** Serves the entries of the keeper's zone. */
-class EntryDesk {
+class EntryHandler {
 public:
-	explicit EntryDesk(KeeperCore &core) : core(core), started(core.scheduler.Now()) {}
+	explicit EntryHandler(KeeperCore &core) : core(core), started(core.scheduler.Now()) {}
 
 	/**
 	 * An entry speaks.
@@ -49,13 +49,13 @@
 	 * A keeper of the zone speaks.
 	 * @param beat What it says.
 	 */
-	void OnBeat(const glade::wire::KeeperBeatT &beat);
+	void OnKeeperBeat(const glade::wire::KeeperBeatT &beat);
 
 	/** Builds the view anew and sends it to entries that have an older one. Called after records and lists. */
 	void Refresh();
 
 	/** Says of silent entries and keepers of the zone that their leases lapsed. Called every second or so. */
-	void WatchLapses();
+	void ReportSilentMembers();
 
 	/**
 	 * Whether the state can be no older than `fresh`: the log answered, or every keeper of the zone is cut off from it
@@ -68,7 +68,7 @@
 	[[nodiscard]] std::map<BoxName, std::vector<MemberName>> Drained() const;
 
 	/** @return Names of the entries that speak to this keeper: other keepers need not blame them. */
-	[[nodiscard]] std::vector<std::string> HeardLately() const;
+	[[nodiscard]] std::vector<std::string> RecentlyHeardEntries() const;
 
 	/** @return Entries connected now. */
 	[[nodiscard]] size_t Connected() const { return this->sessions.size(); }
--- a/src/keeper/keeper_core.cpp
+++ b/src/keeper/keeper_core.cpp
@@ -1,7 +1,7 @@
 /** @file keeper_core.cpp What the parts of a keeper share. */
 #include "keeper_core.h"
 
-std::unique_ptr<glade::wire::ProposalT> OwnJoin(const KeeperIdentity &self)
+std::unique_ptr<glade::wire::ProposalT> MakeJoinProposal(const KeeperIdentity &self)
 {
 	glade::wire::MemberJoinT join;
 	join.member = self.name.Value();
--- a/src/keeper/keeper_core.h
+++ b/src/keeper/keeper_core.h
@@ -44,14 +44,14 @@
 
 /** What the parts of a keeper share. Lives on one thread. */
 struct KeeperCore {
-	KeeperIdentity self;                    ///< Who this keeper is.
-	KeeperTimes times;                      ///< Times.
-	Scheduler &scheduler;                   ///< Clock and timers.
-	LogTail &tail;                          ///< The state.
-	LogWriter &writer;                      ///< Appends.
-	std::vector<ListedBox> list;            ///< The platform's list, as last seen.
-	Millis list_seen = Millis(-MS_PER_DAY); ///< When the list was last seen.
-	KeeperCounters counters;                ///< Counters.
+	KeeperIdentity self;                          ///< Who this keeper is.
+	KeeperTimes times;                            ///< Times.
+	Scheduler &scheduler;                         ///< Clock and timers.
+	LogTail &tail;                                ///< The state.
+	LogWriter &writer;                            ///< Appends.
+	std::vector<ListedBox> list;                  ///< The platform's list, as last seen.
+	Millis list_fetched_at = Millis(-MS_PER_DAY); ///< When the list was last seen.
+	KeeperCounters counters;                      ///< Counters.
 
 	/** @return The state folded so far. */
 	[[nodiscard]] const FleetState &State() const { return this->tail.State(); }
@@ -63,6 +63,6 @@
  * @param self The keeper.
  * @return The proposal.
  */
-std::unique_ptr<glade::wire::ProposalT> OwnJoin(const KeeperIdentity &self);
+std::unique_ptr<glade::wire::ProposalT> MakeJoinProposal(const KeeperIdentity &self);
 
 #endif /* KEEPER_CORE_H */
--- a/src/keeper/keeper_dump.cpp
+++ b/src/keeper/keeper_dump.cpp
@@ -145,7 +145,7 @@
 	return rows;
 }
 
-QJsonArray History(const OperatorDesk &operators)
+QJsonArray History(const OperatorHandler &operators)
 {
 	QJsonArray rows;
 	for (const Decision &it : operators.Recent()) {
@@ -208,7 +208,7 @@
 
 } // namespace
 
-std::string KeeperTopic(const KeeperCore &core, const OperatorDesk &operators, const std::string &topic,
+std::string KeeperTopic(const KeeperCore &core, const OperatorHandler &operators, const std::string &topic,
 						const std::string &name)
 {
 	const std::map<std::string, std::function<QJsonArray()>> topics = {
--- a/src/keeper/keeper_dump.h
+++ b/src/keeper/keeper_dump.h
@@ -25,7 +25,7 @@
  * @param name Box or service to explain.
  * @return JSON: an array of objects, one a line.
  */
-std::string KeeperTopic(const KeeperCore &core, const OperatorDesk &operators, const std::string &topic,
+std::string KeeperTopic(const KeeperCore &core, const OperatorHandler &operators, const std::string &topic,
 						const std::string &name);
 
 #endif /* KEEPER_DUMP_H */
--- a/src/keeper/keeper_server.cpp
+++ b/src/keeper/keeper_server.cpp
@@ -92,7 +92,7 @@
 	std::ranges::for_each(this->peers, [](const auto &it) { it->Start(); });
 	this->tail.Start();
 	this->FetchList();
-	this->FetchEnds();
+	this->FetchJobEnds();
 	this->PlanTick();
 	this->SecondTick();
 	this->BeatTick();
@@ -137,7 +137,7 @@
 		return;
 	}
 	this->joined_asked = true;
-	this->writer.Submit(OwnJoin(this->core.self), WritePriority::WP_CONFIG,
+	this->writer.Submit(MakeJoinProposal(this->core.self), WritePriority::WP_CONFIG,
 						[this](const Decision &) { this->joined_asked = false; });
 }
 
@@ -156,13 +156,13 @@
 		}
 		this->entries.OnHello(*channel, *hello);
 	} else if (const auto *beat = message.AsKeeperBeat(); beat != nullptr) {
-		this->entries.OnBeat(*beat);
+		this->entries.OnKeeperBeat(*beat);
 	} else if (const auto *publish = message.AsPublishRequest(); publish != nullptr) {
 		this->operators.OnPublish(*publish, reply);
 	} else if (const auto *change = message.AsChangeRequest(); change != nullptr) {
 		this->operators.OnChange(*change, reply);
 	} else if (const auto *ask = message.AsAskOutcome(); ask != nullptr) {
-		this->operators.OnAsk(*ask, reply);
+		this->operators.OnAskOutcome(*ask, reply);
 	} else if (message.type == Message::TableRequest) {
 		this->operators.OnTable(reply);
 	} else if (const auto *state = message.AsStateRequest(); state != nullptr) {
@@ -223,7 +223,7 @@
 		if (code == ResultCode::RC_OK) {
 			const bool changed = list != this->core.list;
 			this->core.list = std::move(list);
-			this->core.list_seen = this->scheduler.Now();
+			this->core.list_fetched_at = this->scheduler.Now();
 			if (changed) {
 				this->entries.Refresh();
 			}
@@ -232,16 +232,16 @@
 	});
 }
 
-void KeeperServer::FetchEnds()
+void KeeperServer::FetchJobEnds()
 {
-	const auto again = [this] { this->scheduler.After(this->core.times.plan_tick, [this] { this->FetchEnds(); }); };
+	const auto again = [this] { this->scheduler.After(this->core.times.plan_tick, [this] { this->FetchJobEnds(); }); };
 	if (!this->planner.Holds()) {
 		again();
 		return;
 	}
-	this->platform.FetchEnds([this, again](ResultCode code, const std::vector<JobEnd> &ends) {
+	this->platform.FetchJobEnds([this, again](ResultCode code, const std::vector<JobEnd> &ends) {
 		if (code == ResultCode::RC_OK) {
-			this->planner.OnEnds(ends);
+			this->planner.OnJobEnds(ends);
 		}
 		again();
 	});
@@ -264,7 +264,7 @@
 void KeeperServer::SecondTick()
 {
 	if (this->tail.CaughtUp() && this->SelfIsMember()) {
-		this->entries.WatchLapses();
+		this->entries.ReportSilentMembers();
 		this->snapshots.Tick(this->planner.Holds());
 	}
 	this->AskPeersForState();
@@ -277,7 +277,7 @@
 	beat.member = this->core.self.name.Value();
 	beat.offset = this->core.State().offset.Value();
 	beat.hash = this->core.State().Hash();
-	beat.heard = this->entries.HeardLately();
+	beat.heard = this->entries.RecentlyHeardEntries();
 	const Millis age = this->scheduler.Now() - this->tail.LastAnswer();
 	beat.log_age_ms = static_cast<uint32_t>(std::min(age, Millis(MS_PER_DAY)).Value());
 	const MessageUnion message = MakeMessage(std::move(beat));
--- a/src/keeper/keeper_server.h
+++ b/src/keeper/keeper_server.h
@@ -35,10 +35,10 @@
 	LogTail tail;                                             ///< The state.
 	LogWriter writer;                                         ///< Appends.
 	KeeperCore core;                                          ///< Shared by the desks.
-	EntryDesk entries;                                        ///< Entries of the zone.
-	OperatorDesk operators;                                   ///< Operators.
-	PlanDesk planner;                                         ///< Planning.
-	SnapshotDesk snapshots;                                   ///< Snapshots.
+	EntryHandler entries;                                     ///< Entries of the zone.
+	OperatorHandler operators;                                ///< Operators.
+	RegionPlanner planner;                                    ///< Planning.
+	SnapshotWriter snapshots;                                 ///< Snapshots.
 	FrameServer frames;                                       ///< Entries, keepers and operators connect here.
 	std::map<FrameLink *, std::unique_ptr<Channel>> channels; ///< Entries' connections.
 	std::vector<std::unique_ptr<FrameClient>> peers;          ///< Connections to other keepers.
@@ -50,7 +50,7 @@
 	void OnFrame(FrameLink &link, const MessageUnion &message);
 	void OnPeerFrame(const MessageUnion &message);
 	void FetchList();
-	void FetchEnds();
+	void FetchJobEnds();
 	void PlanTick();
 	void SecondTick();
 	void BeatTick();
--- a/src/keeper/operator_desk.cpp
+++ b/src/keeper/operator_desk.cpp
@@ -58,7 +58,7 @@
 
 } // namespace
 
-void OperatorDesk::OnPublish(const PublishRequestT &it, const Reply &reply)
+void OperatorHandler::OnPublish(const PublishRequestT &it, const Reply &reply)
 {
 	Proposal proposal = MakeProposal(PublicationOf(it));
 	if (!it.check_only) {
@@ -73,7 +73,7 @@
 	reply(OutcomeOf("", RunCommand(context, scratch, proposal->change), scratch.offset));
 }
 
-void OperatorDesk::OnChange(const ChangeRequestT &it, const Reply &reply)
+void OperatorHandler::OnChange(const ChangeRequestT &it, const Reply &reply)
 {
 	if (!it.proposal) {
 		reply(OutcomeOf("", Result{ResultCode::RC_MALFORMED, "no change"}, LogOffset()));
@@ -82,7 +82,7 @@
 	this->Propose(CopyOf(*it.proposal), reply);
 }
 
-void OperatorDesk::Propose(Proposal proposal, const Reply &reply)
+void OperatorHandler::Propose(Proposal proposal, const Reply &reply)
 {
 	const auto answered = std::make_shared<bool>(false);
 	const auto done = [answered, reply](const Decision &decision) {
@@ -102,7 +102,7 @@
 	});
 }
 
-void OperatorDesk::OnAsk(const AskOutcomeT &it, const Reply &reply) const
+void OperatorHandler::OnAskOutcome(const AskOutcomeT &it, const Reply &reply) const
 {
 	const auto same = [&](const Decision &decision) {
 		return decision.id.Text() == it.id && decision.result.code != ResultCode::RC_DUPLICATE;
@@ -115,7 +115,7 @@
 	reply(OutcomeOf(it.id, found->result, found->offset));
 }
 
-void OperatorDesk::OnTable(const Reply &reply) const
+void OperatorHandler::OnTable(const Reply &reply) const
 {
 	TableReplyT table;
 	table.version = this->core.State().table_version.Value();
@@ -131,7 +131,7 @@
 	reply(message);
 }
 
-void OperatorDesk::OnDecisions(const std::vector<Decision> &decisions)
+void OperatorHandler::OnDecisions(const std::vector<Decision> &decisions)
 {
 	for (const Decision &it : decisions) {
 		this->recent.push_back(it);
--- a/src/keeper/operator_desk.h
+++ b/src/keeper/operator_desk.h
@@ -8,11 +8,11 @@
 #include <functional>
 
 /** Answers operators. An operator is told "accepted", "rejected, because" or "unknown, ask again"; never a guess. */
-class OperatorDesk {
+class OperatorHandler {
 public:
 	using Reply = std::function<void(const glade::wire::MessageUnion &)>;
 
-	explicit OperatorDesk(KeeperCore &core) : core(core) {}
+	explicit OperatorHandler(KeeperCore &core) : core(core) {}
 
 	/**
 	 * Checks or publishes an edit of the table.
@@ -33,7 +33,7 @@
 	 * @param it Its id.
 	 * @param reply Gets the outcome.
 	 */
-	void OnAsk(const glade::wire::AskOutcomeT &it, const Reply &reply) const;
+	void OnAskOutcome(const glade::wire::AskOutcomeT &it, const Reply &reply) const;
 
 	/**
 	 * Sends the table in force.
@@ -42,7 +42,7 @@
 	void OnTable(const Reply &reply) const;
 
 	/**
-	 * Remembers decisions of all writers for OnAsk() and `glade table history`.
+	 * Remembers decisions of all writers for OnAskOutcome() and `glade table history`.
 	 * @param decisions Decisions of a record.
 	 */
 	void OnDecisions(const std::vector<Decision> &decisions);
--- a/src/keeper/plan_desk.cpp
+++ b/src/keeper/plan_desk.cpp
@@ -20,13 +20,13 @@
 
 } // namespace
 
-PlanDesk::PlanDesk(KeeperCore &core, const EntryDesk &entries, BoxControl &control, PlannerPolicy policy)
+RegionPlanner::RegionPlanner(KeeperCore &core, const EntryHandler &entries, BoxControl &control, PlannerPolicy policy)
 		: core(core), entries(entries), control(control), policy(policy), planner_heard(core.scheduler.Now()),
 		  reported(EndBefore)
 {
 }
 
-bool PlanDesk::Holds() const
+bool RegionPlanner::Holds() const
 {
 	/* A term that an earlier start of this process took is not ours: it is taken anew. */
 	const auto seat = this->core.State().planners.find(this->core.self.region);
@@ -34,7 +34,7 @@
 		   seat->second.term == this->taken && this->taken != Term();
 }
 
-void PlanDesk::OnDecisions(const std::vector<Decision> &decisions)
+void RegionPlanner::OnDecisions(const std::vector<Decision> &decisions)
 {
 	const auto seat = this->core.State().planners.find(this->core.self.region);
 	if (seat == this->core.State().planners.end()) {
@@ -47,7 +47,7 @@
 	}
 }
 
-Millis PlanDesk::Patience() const
+Millis RegionPlanner::Patience() const
 {
 	/* Keepers wait differently long, so that one of them takes the term and the others see it. */
 	const uint64_t step = HashText(this->core.self.name.Value()) % PATIENCE_STEPS;
@@ -55,7 +55,7 @@
 	return Millis(silence + silence * static_cast<int64_t>(step) / static_cast<int64_t>(PATIENCE_STEPS));
 }
 
-void PlanDesk::Tick()
+void RegionPlanner::Tick()
 {
 	if (!this->core.tail.CaughtUp()) {
 		/* While the log is silent nobody can plan; silence then says nothing about the planner. */
@@ -77,7 +77,7 @@
 	}
 }
 
-void PlanDesk::TakeTerm()
+void RegionPlanner::TakeTerm()
 {
 	if (this->asked) {
 		return;
@@ -98,30 +98,30 @@
 	});
 }
 
-void PlanDesk::Beat()
+void RegionPlanner::Beat()
 {
 	const Millis now = this->core.scheduler.Now();
 	if (this->last_beat + Millis(this->core.times.planner_silence.Value() / BEATS_PER_SILENCE) > now) {
 		return;
 	}
 	this->last_beat = now;
-	this->core.writer.Submit(OwnJoin(this->core.self), WritePriority::WP_CONFIG);
+	this->core.writer.Submit(MakeJoinProposal(this->core.self), WritePriority::WP_CONFIG);
 }
 
-void PlanDesk::Submit(Proposal proposal, WritePriority priority)
+void RegionPlanner::Submit(Proposal proposal, WritePriority priority)
 {
 	this->undecided++;
 	this->core.writer.Submit(std::move(proposal), priority, [this](const Decision &) { this->undecided--; });
 }
 
-void PlanDesk::Plan()
+void RegionPlanner::Plan()
 {
 	this->OrderReboots();
 	this->OrderJobs();
 	this->ReportLapsedJobs();
 	/* The next step is planned on what the last one has led to. */
 	const bool list_known =
-			this->core.list_seen + Millis(10 * this->core.times.list_tick.Value()) > this->core.scheduler.Now();
+			this->core.list_fetched_at + Millis(10 * this->core.times.list_tick.Value()) > this->core.scheduler.Now();
 	if (this->undecided > 0 || !list_known) {
 		return;
 	}
@@ -145,7 +145,7 @@
 			static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(took).count());
 }
 
-void PlanDesk::ReportDrains()
+void RegionPlanner::ReportDrains()
 {
 	if (this->drains > 0) {
 		return;
@@ -158,7 +158,7 @@
 	}
 }
 
-void PlanDesk::OrderReboots()
+void RegionPlanner::OrderReboots()
 {
 	for (const auto &[name, box] : this->core.State().boxes) {
 		if (box.state != BoxState::BS_REBOOTING) {
@@ -173,7 +173,7 @@
 	}
 }
 
-void PlanDesk::OrderJobs()
+void RegionPlanner::OrderJobs()
 {
 	for (const auto &[name, job] : this->core.State().jobs) {
 		if (job.state == JobState::JS_PLACED) {
@@ -184,7 +184,7 @@
 	}
 }
 
-void PlanDesk::ReportLapsedJobs()
+void RegionPlanner::ReportLapsedJobs()
 {
 	for (const auto &[name, job] : this->core.State().jobs) {
 		if (job.state != JobState::JS_PLACED) {
@@ -194,12 +194,12 @@
 		const bool lost = box == this->core.State().boxes.end() || box->second.epoch != job.box_epoch;
 		const JobEnd end{name, job.attempt, JobOutcome::JO_LEASE_EXPIRED};
 		if (lost && !this->reported.contains(end)) {
-			this->OnEnds({end});
+			this->OnJobEnds({end});
 		}
 	}
 }
 
-void PlanDesk::OnEnds(const std::vector<JobEnd> &ends)
+void RegionPlanner::OnJobEnds(const std::vector<JobEnd> &ends)
 {
 	if (!this->Holds()) {
 		return;
--- a/src/keeper/plan_desk.h
+++ b/src/keeper/plan_desk.h
@@ -13,7 +13,7 @@
  * Plans the keeper's region while it holds the region's term. Any keeper may take the term when the planner is silent;
  * two that believe to hold it cost work, not safety, since the fold accepts one term.
  */
-class PlanDesk {
+class RegionPlanner {
 public:
 	/**
 	 * @param core Shared parts.
@@ -21,7 +21,7 @@
 	 * @param control The platform's control of boxes and jobs; outlives this.
 	 * @param policy Weights.
 	 */
-	PlanDesk(KeeperCore &core, const EntryDesk &entries, BoxControl &control, PlannerPolicy policy);
+	RegionPlanner(KeeperCore &core, const EntryHandler &entries, BoxControl &control, PlannerPolicy policy);
 
 	/** One look: take the term, renew it, or plan. Called every plan tick. */
 	void Tick();
@@ -39,11 +39,11 @@
 	 * Records ended attempts that the platform tells of.
 	 * @param ends The ends.
 	 */
-	void OnEnds(const std::vector<JobEnd> &ends);
+	void OnJobEnds(const std::vector<JobEnd> &ends);
 
 private:
 	KeeperCore &core;                       ///< Shared parts.
-	const EntryDesk &entries;               ///< Drains.
+	const EntryHandler &entries;            ///< Drains.
 	BoxControl &control;                    ///< Orders.
 	PlannerPolicy policy;                   ///< Weights.
 	Millis planner_heard;                   ///< When the planner last wrote, as seen here.
--- a/src/keeper/snapshot_desk.cpp
+++ b/src/keeper/snapshot_desk.cpp
@@ -5,7 +5,7 @@
 
 #include <memory>
 
-void SnapshotDesk::Tick(bool planner)
+void SnapshotWriter::Tick(bool planner)
 {
 	const Millis now = this->core.scheduler.Now();
 	if (this->core.tail.SnapshotBase() > this->last_base) {
@@ -26,7 +26,7 @@
 	}
 }
 
-void SnapshotDesk::Write()
+void SnapshotWriter::Write()
 {
 	this->writing = true;
 	this->core.counters.snapshots++;
--- a/src/keeper/snapshot_desk.h
+++ b/src/keeper/snapshot_desk.h
@@ -5,9 +5,9 @@
 #include "keeper_core.h"
 
 /** Writes snapshots when one is due. Any keeper may; the planner goes first, so that one is usually enough. */
-class SnapshotDesk {
+class SnapshotWriter {
 public:
-	explicit SnapshotDesk(KeeperCore &core) : core(core), last_written(core.scheduler.Now()) {}
+	explicit SnapshotWriter(KeeperCore &core) : core(core), last_written(core.scheduler.Now()) {}
 
 	/**
 	 * Looks whether a snapshot is due. Called every second or so.
--- a/src/net/platform_client.cpp
+++ b/src/net/platform_client.cpp
@@ -161,7 +161,7 @@
 	this->Call("POST", "/jobs/stop", JobBody(job), CALL_TIMEOUT, [](const Reply &) {});
 }
 
-void PlatformClient::FetchEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done)
+void PlatformClient::FetchJobEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done)
 {
 	this->Call("GET", "/jobs/ends", {}, CALL_TIMEOUT, [done = std::move(done)](const Reply &reply) {
 		std::vector<JobEnd> ends;
--- a/src/net/platform_client.h
+++ b/src/net/platform_client.h
@@ -26,7 +26,7 @@
 	void Reboot(const BoxName &box, PermitId permit) override;
 	void StartJob(const Job &job) override;
 	void StopJob(const Job &job) override;
-	void FetchEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done) override;
+	void FetchJobEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done) override;
 	void Acknowledge(const JobEnd &end) override;
 
 	/** @return Bytes of bodies sent and received. */
--- a/src/platform_type.h
+++ b/src/platform_type.h
@@ -55,7 +55,7 @@
 	 * Asks for attempts that have ended. Each is told until Acknowledge().
 	 * @param done Gets them.
 	 */
-	virtual void FetchEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done) = 0;
+	virtual void FetchJobEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done) = 0;
 
 	/**
 	 * The end of an attempt is recorded: it need not be told again.
--- a/src/program/bounded_log.cpp
+++ b/src/program/bounded_log.cpp
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-void BoundedLog::Write(const char *event, std::initializer_list<EventField> fields)
+void RateLimitedLog::Write(const char *event, std::initializer_list<EventField> fields)
 {
 	auto it = this->windows.find(std::string_view(event));
 	if (it == this->windows.end()) {
--- a/src/program/bounded_log.h
+++ b/src/program/bounded_log.h
@@ -9,18 +9,18 @@
 #include <string_view>
 
 /** Writes lines by LogEvent(), at most so many a second of each kind, and tells how many it left out. */
-class BoundedLog : public EventLog {
+class RateLimitedLog : public EventLog {
 public:
 	/**
 	 * @param scheduler Clock.
 	 * @param per_second Lines of one kind written within a second.
 	 */
-	BoundedLog(Scheduler &scheduler, uint32_t per_second) : scheduler(scheduler), per_second(per_second) {}
+	RateLimitedLog(Scheduler &scheduler, uint32_t per_second) : scheduler(scheduler), per_second(per_second) {}
 
 	void Write(const char *event, std::initializer_list<EventField> fields) override;
 
 	/** @return Lines left out so far. */
-	[[nodiscard]] uint64_t LeftOut() const { return this->left_out; }
+	[[nodiscard]] uint64_t DroppedLines() const { return this->left_out; }
 
 private:
 	/** Lines of one kind within the current second. */
@@ -32,7 +32,7 @@
 
 	Scheduler &scheduler;                               ///< Clock.
 	uint32_t per_second;                                ///< Lines of one kind within a second.
-	uint64_t left_out = 0;                              ///< For LeftOut().
+	uint64_t left_out = 0;                              ///< For DroppedLines().
 	std::map<std::string, Window, std::less<>> windows; ///< By kind.
 };
 
--- a/src/program/program.cpp
+++ b/src/program/program.cpp
@@ -121,7 +121,7 @@
 
 } // namespace
 
-void UseFastEventLoop()
+void UseEpollEventLoop()
 {
 	/* Threads of their own keep Qt's loop, without GLib. */
 	qputenv("QT_NO_GLIB", "1");
@@ -187,7 +187,7 @@
 		std::cout << file << ": valid\n";
 		return static_cast<int>(ExitCode::EC_OK);
 	}
-	UseFastEventLoop();
+	UseEpollEventLoop();
 	QCoreApplication app(argc, argv);
 	const std::unique_ptr<Server> server = spec.make(settings.settings);
 	return Runner(app, *server, spec, file).Run();
--- a/src/program/program.h
+++ b/src/program/program.h
@@ -102,7 +102,7 @@
  * Gives the main thread an event loop over epoll, and other threads Qt's own one rather than GLib's, which takes more
  * time per event. Called before any Qt object is made.
  */
-void UseFastEventLoop();
+void UseEpollEventLoop();
 
 /**
  * Reads a file.
--- a/src/scheduler_type.h
+++ b/src/scheduler_type.h
@@ -66,7 +66,7 @@
 	 * Runs the next timer.
 	 * @return False when there is none.
 	 */
-	bool RunOne();
+	bool RunNextTimer();
 
 private:
 	/** When a timer is due, and in which order among those of the moment. */
--- a/src/standin/memory/fleet_site.cpp
+++ b/src/standin/memory/fleet_site.cpp
@@ -75,7 +75,7 @@
 	}
 }
 
-void SitePlatform::FetchEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done)
+void SitePlatform::FetchJobEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done)
 {
 	std::vector<JobEnd> ends;
 	for (const auto &[name, job] : this->jobs) {
@@ -137,14 +137,14 @@
 			self != this->core.State().members.end() && self->second.incarnation == this->core.self.incarnation;
 	if (!member && this->tail.CaughtUp() && !this->joined_asked) {
 		this->joined_asked = true;
-		this->writer.Submit(OwnJoin(this->core.self), WritePriority::WP_CONFIG,
+		this->writer.Submit(MakeJoinProposal(this->core.self), WritePriority::WP_CONFIG,
 							[this](const Decision &) { this->joined_asked = false; });
 	}
 	if (member) {
 		this->planner.Tick();
 		if (this->planner.Holds() && !this->log.faults.down) {
-			this->site.platform.FetchEnds(
-					[this](ResultCode, const std::vector<JobEnd> &ends) { this->planner.OnEnds(ends); });
+			this->site.platform.FetchJobEnds(
+					[this](ResultCode, const std::vector<JobEnd> &ends) { this->planner.OnJobEnds(ends); });
 		}
 	}
 	this->lane.After(this->core.times.plan_tick, [this] { this->Tick(); });
@@ -153,19 +153,19 @@
 void KeeperNode::SlowTick()
 {
 	if (this->tail.CaughtUp()) {
-		this->entries.WatchLapses();
+		this->entries.ReportSilentMembers();
 		this->snapshots.Tick(this->planner.Holds());
 	}
 	glade::wire::KeeperBeatT beat;
 	beat.member = this->name;
 	beat.offset = this->core.State().offset.Value();
-	beat.heard = this->entries.HeardLately();
+	beat.heard = this->entries.RecentlyHeardEntries();
 	beat.log_age_ms =
 			static_cast<uint32_t>(std::min(this->lane.Now() - this->tail.LastAnswer(), Millis(MS_PER_DAY)).Value());
 	for (const auto &other : this->site.keepers) {
 		if (other.get() != this && other->zone == this->zone && *other->lane.alive &&
 			other->lane.paused_until < this->lane.Now()) {
-			other->entries.OnBeat(beat);
+			other->entries.OnKeeperBeat(beat);
 		}
 	}
 	/* With no snapshot that continues into the log, the states of peers help. */
@@ -190,7 +190,7 @@
 		for (const auto &[box, listed] : this->site.platform.boxes) {
 			this->core.list.push_back(listed);
 		}
-		this->core.list_seen = this->lane.Now();
+		this->core.list_fetched_at = this->lane.Now();
 		this->entries.Refresh();
 	}
 	this->lane.After(this->core.times.list_tick, [this] { this->ListTick(); });
--- a/src/standin/memory/fleet_site.h
+++ b/src/standin/memory/fleet_site.h
@@ -27,7 +27,7 @@
 	void Reboot(const BoxName &box, PermitId permit) override;
 	void StartJob(const Job &job) override;
 	void StopJob(const Job &job) override;
-	void FetchEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done) override;
+	void FetchJobEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done) override;
 	void Acknowledge(const JobEnd &end) override;
 
 	std::map<BoxName, ListedBox> boxes;              ///< The list as it is.
@@ -59,19 +59,19 @@
 	template <class T>
 	std::shared_ptr<glade::wire::OutcomeT> Propose(T change);
 
-	FleetSite &site;          ///< The site.
-	std::string name;         ///< Its name.
-	std::string zone;         ///< Its zone.
-	NodeScheduler lane;       ///< Its clock.
-	MemoryLog log;            ///< Its way to the log, with its own faults.
-	LogTail tail;             ///< The state.
-	LogWriter writer;         ///< Appends.
-	KeeperCore core;          ///< Shared by the desks.
-	EntryDesk entries;        ///< Entries.
-	OperatorDesk operators;   ///< Operators.
-	PlanDesk planner;         ///< Planning.
-	SnapshotDesk snapshots;   ///< Snapshots.
-	bool list_frozen = false; ///< Whether its list is late.
+	FleetSite &site;           ///< The site.
+	std::string name;          ///< Its name.
+	std::string zone;          ///< Its zone.
+	NodeScheduler lane;        ///< Its clock.
+	MemoryLog log;             ///< Its way to the log, with its own faults.
+	LogTail tail;              ///< The state.
+	LogWriter writer;          ///< Appends.
+	KeeperCore core;           ///< Shared by the desks.
+	EntryHandler entries;      ///< Entries.
+	OperatorHandler operators; ///< Operators.
+	RegionPlanner planner;     ///< Planning.
+	SnapshotWriter snapshots;  ///< Snapshots.
+	bool list_frozen = false;  ///< Whether its list is late.
 
 private:
 	bool joined_asked = false; ///< Whether its joining is not decided yet.
--- a/src/virtual_scheduler.cpp
+++ b/src/virtual_scheduler.cpp
@@ -22,7 +22,7 @@
 	this->due.erase(it);
 }
 
-bool VirtualScheduler::RunOne()
+bool VirtualScheduler::RunNextTimer()
 {
 	if (this->timers.empty()) {
 		return false;
@@ -37,7 +37,7 @@
 void VirtualScheduler::RunUntil(Millis until)
 {
 	while (!this->timers.empty() && this->timers.begin()->first.at <= until) {
-		this->RunOne();
+		this->RunNextTimer();
 	}
 	this->now = std::max(this->now, until);
 }
--- a/tests/job_world.h
+++ b/tests/job_world.h
@@ -96,7 +96,7 @@
 	NodeScheduler scheduler; ///< Its clock.
 	KeyedStoreClient log;    ///< Its way to the log.
 	SiteOrders orders;       ///< Its way to the boxes.
-	NoEventLog events;       ///< Its lines.
+	NullEventLog events;     ///< Its lines.
 	WorldFeed feed;          ///< Its feed.
 	GroupMember member;      ///< Its part in the group.
 	ShardHost host;          ///< Its shards.
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -38,7 +38,7 @@
 
 int main(int argc, char **argv)
 {
-	UseFastEventLoop();
+	UseEpollEventLoop();
 	QCoreApplication app(argc, argv);
 	doctest::Context context(argc, argv);
 	return PassOverKnownRed(context) ? context.run() : EXIT_FAILURE;
--- a/tests/owner/main.cpp
+++ b/tests/owner/main.cpp
@@ -127,7 +127,7 @@
 	QtScheduler scheduler;  ///< Clock of this thread.
 	AgentSite agents;       ///< The boxes.
 	TakingLog log;          ///< The log.
-	NoEventLog events;      ///< Lines.
+	NullEventLog events;    ///< Lines.
 	HttpCaller caller;      ///< Connections.
 	BoxClient orders;       ///< Orders to the boxes.
 	PairedJournal journal;  ///< Records.
@@ -192,7 +192,7 @@
 	if (const std::optional<int> exit_code = ParseArguments(USAGE, "glade_owner_bench", argc, argv, args); exit_code) {
 		return *exit_code;
 	}
-	UseFastEventLoop();
+	UseEpollEventLoop();
 	QCoreApplication app(argc, argv);
 	try {
 		const size_t boxes = std::stoul(args["--boxes"].asString());
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -35,7 +35,7 @@
 
 int main(int argc, char **argv)
 {
-	UseFastEventLoop();
+	UseEpollEventLoop();
 	const QCoreApplication app(argc, argv);
 	ParsedArguments args;
 	if (const std::optional<int> end = ParseArguments(USAGE, "glade_soak", argc, argv, args); end) {
--- a/tests/test_config_exchange.cpp
+++ b/tests/test_config_exchange.cpp
@@ -178,7 +178,7 @@
 	}
 
 	VirtualScheduler clock{Millis(0)};        ///< Clock.
-	NoEventLog events;                        ///< Lines.
+	NullEventLog events;                      ///< Lines.
 	Operator published;                       ///< The store.
 	std::map<uint64_t, Millis> published_at;  ///< When each version was.
 	std::vector<std::unique_ptr<Node>> nodes; ///< The nodes.
--- a/tests/test_crashing_tasks.cpp
+++ b/tests/test_crashing_tasks.cpp
@@ -119,7 +119,7 @@
 	day.world.site.back_after = Millis(1200);
 	uint64_t crashes = 0;
 	while (crashes < 5 && day.world.clock.Now() < Millis(30000)) {
-		REQUIRE(day.world.clock.RunOne());
+		REQUIRE(day.world.clock.RunNextTimer());
 		if (day.world.site.crashes == crashes) {
 			continue;
 		}
@@ -199,7 +199,7 @@
 		for (int crash = 0; crash < 2; crash++) {
 			const uint64_t starts = world.site.starts;
 			while (world.site.starts == starts || world.site.Running(job.spec.id) < 4) {
-				REQUIRE(world.clock.RunOne());
+				REQUIRE(world.clock.RunNextTimer());
 			}
 			world.clock.RunUntil(world.clock.Now() + Millis(crash == 0 ? 100 : after));
 			world.site.Crash(BoxName("calc-box0"));
@@ -219,7 +219,7 @@
 	const WorldJob &job = world.Plan(Millis(1000), "calc", JobWorld::Lasting(1));
 	for (int crash = 0; crash < 6; crash++) {
 		while (world.site.Running(job.spec.id) < 1 && world.clock.Now() < WHOLE) {
-			REQUIRE(world.clock.RunOne());
+			REQUIRE(world.clock.RunNextTimer());
 		}
 		world.clock.RunUntil(world.clock.Now() + Millis(1100));
 		for (const BoxReport &it : world.site.Reports()) {
--- a/tests/test_fleet_owner.cpp
+++ b/tests/test_fleet_owner.cpp
@@ -109,7 +109,7 @@
 	KeyedStoreClient log{this->clock, this->clock, store}; ///< The way to it.
 	NotedMachines machines;                                ///< Machines.
 	EmptyPools pools;                                      ///< Pools.
-	NoEventLog events;                                     ///< Lines.
+	NullEventLog events;                                   ///< Lines.
 
 	std::unique_ptr<FleetOwner> Make(const std::string &name, const std::vector<std::string> &boxes)
 	{
--- a/tests/test_keeper.cpp
+++ b/tests/test_keeper.cpp
@@ -144,7 +144,8 @@
 		glade::wire::AskOutcomeT ask;
 		ask.id = id;
 		glade::wire::OutcomeT told;
-		keeper.operators.OnAsk(ask, [&](const glade::wire::MessageUnion &message) { told = *message.AsOutcome(); });
+		keeper.operators.OnAskOutcome(ask,
+									  [&](const glade::wire::MessageUnion &message) { told = *message.AsOutcome(); });
 		CHECK(told.code == 0);
 	}
 	CHECK(site.Any().core.State().cells.at(CellKey{ServiceName("misting"), "weight"}).value == "5");
--- a/tests/test_other_writer.cpp
+++ b/tests/test_other_writer.cpp
@@ -115,7 +115,7 @@
 	VirtualScheduler clock{Millis(1700000000000)};
 	KeyedStore store{12};
 	KeyedStoreClient log{clock, clock, store};
-	NoEventLog events;
+	NullEventLog events;
 	StandingReports seen;
 	PlatformFeed feed(clock, log, events);
 	feed.Start(seen);
@@ -175,7 +175,7 @@
 	VirtualScheduler clock{Millis(1700000000000)};
 	KeyedStore store{12};
 	KeyedStoreClient log{clock, clock, store};
-	NoEventLog events;
+	NullEventLog events;
 	IdleMachines idle;
 	const PartitionId fleet{"keyed.fleet", 0};
 	store.Append(fleet, {KeyedRecord{"hello", "?"}, KeyedRecord{"7x/m0", "1"}, KeyedRecord{"/", "1"}},
--- a/tests/test_owner_missed.cpp
+++ b/tests/test_owner_missed.cpp
@@ -84,7 +84,7 @@
 	VirtualScheduler clock{Millis(1700000000000)};
 	KeyedStore store{12};
 	KeyedStoreClient log{clock, clock, store};
-	NoEventLog events;
+	NullEventLog events;
 	const PartitionId main{"keyed.jobs.calc", 0};
 	PairedJournal journal(clock, log, events,
 						  JournalPair{main, SparePartitionOf(main),
--- a/tests/test_partition_claim.cpp
+++ b/tests/test_partition_claim.cpp
@@ -25,7 +25,7 @@
 		this->claim.Start([this](const ClaimedPartition &it) { this->claimed = it; });
 	}
 
-	NoEventLog events;                       ///< Its lines.
+	NullEventLog events;                     ///< Its lines.
 	KeyedStoreClient log;                    ///< Its way to the log.
 	PartitionClaim claim;                    ///< Its claim.
 	std::optional<ClaimedPartition> claimed; ///< What it has got.
--- a/tests/test_silent_connection.cpp
+++ b/tests/test_silent_connection.cpp
@@ -132,7 +132,7 @@
 	RecordAsked(const Serve &serve, int64_t within)
 	{
 		QtScheduler scheduler;
-		NoEventLog events;
+		NullEventLog events;
 		FrameServer server(
 				[&](FrameLink &link, const MessageUnion &message) {
 					this->asked += message.AsRecordQuestion() != nullptr ? 1 : 0;
@@ -230,7 +230,7 @@
 	constexpr int LATE_MS = 400;
 	constexpr Millis DEADLINE(3000);
 	QtScheduler scheduler;
-	NoEventLog events;
+	NullEventLog events;
 	size_t asked = 0;
 	std::set<FrameLink *> standing;
 	size_t links = 0;
