--- a/src/bench/slots_bench.cpp
+++ b/src/bench/slots_bench.cpp
@@ -44,7 +44,7 @@
 		for (uint32_t i = 0; i < count; i++) {
 			this->Add(i);
 		}
-		this->PushViews(count);
+		this->PublishViews(count);
 	}
 
 	SlotsResult Run(Millis span, double load)
@@ -112,7 +112,7 @@
 		this->nodes.push_back(std::move(node));
 	}
 
-	void PushViews(uint32_t count)
+	void PublishViews(uint32_t count)
 	{
 		SimpleViewSpec spec;
 		spec.endpoints = ENDPOINTS;
--- a/src/standin/memory/box_site.cpp
+++ b/src/standin/memory/box_site.cpp
@@ -40,7 +40,7 @@
 	if (!this->keeps_id) {
 		report.incarnation.id = BoxId(name.Value() + "-life" + std::to_string(++this->lives));
 	}
-	report.incarnation.started = this->clock.WallNow() - this->wall_behind;
+	report.incarnation.started = this->clock.WallNow() - this->wall_clock_lag;
 	box = Box{};
 	box.report = report;
 	box.started = this->clock.Now();
@@ -80,7 +80,7 @@
 	}
 	this->crashes++;
 	this->LoseRuns(box);
-	this->clock.After(this->back_after, [this, name, incarnation = box.report.incarnation] {
+	this->clock.After(this->restart_delay, [this, name, incarnation = box.report.incarnation] {
 		if (this->boxes.at(name).report.incarnation == incarnation) {
 			this->Restart(name);
 		}
@@ -268,7 +268,7 @@
 	if (this->guarded && !free.Holds(demand)) {
 		return this->Plain(box, OrderOutcome::OO_NO_ROOM);
 	}
-	if (this->ticket_holds && !this->ticket_holds(report, order)) {
+	if (this->ticket_valid && !this->ticket_valid(report, order)) {
 		return this->Plain(box, OrderOutcome::OO_NO_TICKET);
 	}
 	this->Judge(*box, order);
@@ -306,11 +306,11 @@
 		it != box->running.end() && it->second.run <= run && !std::exchange(it->second.stopping, true)) {
 		this->JudgeStop(*box, task);
 		this->clock.Cancel(it->second.timer);
-		if (this->stop_takes == Millis(0)) {
+		if (this->stop_delay == Millis(0)) {
 			this->End(report.box, task, RunEnding::RE_STOPPED);
 		} else {
 			it->second.timer = this->clock.After(
-					this->stop_takes, [this, name = report.box, task, run] { this->EndStopped(name, task, run); });
+					this->stop_delay, [this, name = report.box, task, run] { this->EndStopped(name, task, run); });
 		}
 	}
 	return this->Plain(box, OrderOutcome::OO_DONE);
@@ -391,7 +391,7 @@
 {
 	const auto faults = this->site.faults.find(box.box);
 	const bool dark = faults != this->site.faults.end() && faults->second.dark;
-	return !dark && !this->site.Down(box.box) && !this->cut_off.contains(box.box);
+	return !dark && !this->site.Down(box.box) && !this->unreachable_boxes.contains(box.box);
 }
 
 void SiteOrders::Send(const BoxReport &box, std::function<OrderAnswer()> work, Done done)
@@ -464,7 +464,7 @@
 		return;
 	}
 	const uint32_t sent = ++this->lists[box.box];
-	const uint32_t lose = this->site.faults[box.box].lose_lists;
+	const uint32_t lose = this->site.faults[box.box].lose_lease_every;
 	if (lose > 0 && sent % lose == 0) {
 		this->clock.After(ONE_WAY, [&site = this->site, box, order] { site.Lease(box, order); });
 		this->scheduler.After(order.wait + PATIENCE, [done] { done(LeaseAnswer{}); });
--- a/src/standin/memory/box_site.h
+++ b/src/standin/memory/box_site.h
@@ -24,11 +24,11 @@
 
 /** Faults of the way from the nodes to one box. */
 struct BoxFaults {
-	bool dark = false;       ///< Nothing gets through; what runs goes on.
-	uint32_t lose_every = 0; ///< Every n-th order is done without an answer; 0 for none.
-	bool late = false;       ///< Those are done seconds later.
-	bool deaf = false;       ///< Starts and stops get lost on their way; lease orders are answered.
-	uint32_t lose_lists = 0; ///< Every n-th lease order is done without an answer; 0 for none.
+	bool dark = false;             ///< Nothing gets through; what runs goes on.
+	uint32_t lose_every = 0;       ///< Every n-th order is done without an answer; 0 for none.
+	bool late = false;             ///< Those are done seconds later.
+	bool deaf = false;             ///< Starts and stops get lost on their way; lease orders are answered.
+	uint32_t lose_lease_every = 0; ///< Every n-th lease order is done without an answer; 0 for none.
 };
 
 /** All boxes. Violations of the rules are collected as they happen. */
@@ -42,7 +42,7 @@
 	/** A box's agent starts again: it loses all that runs, and its counts and its clock start anew. @param box Which.
 	 * @return Its new report. */
 	BoxReport Restart(const BoxName &box);
-	/** A box loses all that runs, answers nothing for `back_after`, then starts again. Its report stands meanwhile.
+	/** A box loses all that runs, answers nothing for `restart_delay`, then starts again. Its report stands meanwhile.
 	 * @param box Which. */
 	void Crash(const BoxName &box);
 	/** @return A box's own clock: the time since it started. @param box Which. */
@@ -62,7 +62,7 @@
 	 * under it. @param id The job. */
 	[[nodiscard]] bool MayFail(const JobId &id) const;
 	/** Tells of a job. @param job It. */
-	void Know(const SiteJob &job) { this->jobs[job.spec.id] = job; }
+	void AddJob(const SiteJob &job) { this->jobs[job.spec.id] = job; }
 	/** @return A job. @param id Which. */
 	SiteJob &JobOf(const JobId &id) { return this->jobs.at(id); }
 	/** @return Reports of all boxes. */
@@ -81,15 +81,15 @@
 	std::map<BoxName, BoxFaults> faults;                                     ///< Faults by box.
 	std::vector<std::string> violations;                                     ///< Rules broken, in words.
 	Millis lease_max = Millis(10000);                                        ///< Longest lease granted.
-	Millis stop_takes;                                                       ///< A stopped run is listed for so long.
-	std::function<bool(const BoxReport &, const StartOrder &)> ticket_holds; ///< Judges tickets; none are asked for
+	Millis stop_delay;                                                       ///< A stopped run is listed for so long.
+	std::function<bool(const BoxReport &, const StartOrder &)> ticket_valid; ///< Judges tickets; none are asked for
 																			 ///< without it.
 	uint64_t starts = 0;                                                     ///< Runs begun.
 	uint64_t crashes = 0;                                                    ///< Crashes of boxes.
-	Millis back_after = Millis(3000);                                        ///< A crashed box is back after this.
+	Millis restart_delay = Millis(3000);                                     ///< A crashed box is back after this.
 	bool keeps_id = true;                                                    ///< Whether boxes keep their ids.
-	Millis wall_behind;  ///< Wall clocks of boxes that start are behind by so much.
-	bool guarded = true; ///< Whether boxes refuse what doesn't fit; otherwise they start all that they are told.
+	Millis wall_clock_lag; ///< Wall clocks of boxes that start are behind by so much.
+	bool guarded = true;   ///< Whether boxes refuse what doesn't fit; otherwise they start all that they are told.
 
 private:
 	/** A run. */
@@ -160,7 +160,7 @@
 	void Pace(const BoxReport &box, const TaskId &task, RunNumber run, int64_t percent, FenceToken fence,
 			  Done done) override;
 
-	std::set<BoxName> cut_off; ///< Boxes that this node alone can't reach.
+	std::set<BoxName> unreachable_boxes; ///< Boxes that this node alone can't reach.
 
 private:
 	Scheduler &scheduler;              ///< The node's clock.
--- a/src/standin/memory/fleet_site.cpp
+++ b/src/standin/memory/fleet_site.cpp
@@ -96,13 +96,13 @@
 }
 
 KeeperNode::KeeperNode(FleetSite &site, const std::string &name, const std::string &zone, KeeperTimes times)
-		: site(site), name(name), zone(zone), lane(site.clock), log(this->lane, site.store),
-		  tail(this->lane, this->log, [this](const std::vector<Decision> &it) { this->OnRecord(it); }),
-		  writer(this->lane, this->log, name, Incarnation(static_cast<uint64_t>(site.clock.WallNow().Value()))),
+		: site(site), name(name), zone(zone), scheduler(site.clock), log(this->scheduler, site.store),
+		  tail(this->scheduler, this->log, [this](const std::vector<Decision> &it) { this->OnRecord(it); }),
+		  writer(this->scheduler, this->log, name, Incarnation(static_cast<uint64_t>(site.clock.WallNow().Value()))),
 		  core{KeeperIdentity{MemberName(name), RegionName("main"), ZoneName(zone), name,
 							  Incarnation(static_cast<uint64_t>(site.clock.WallNow().Value()))},
 			   times,
-			   this->lane,
+			   this->scheduler,
 			   this->tail,
 			   this->writer,
 			   {},
@@ -147,7 +147,7 @@
 					[this](ResultCode, const std::vector<JobEnd> &ends) { this->planner.OnJobEnds(ends); });
 		}
 	}
-	this->lane.After(this->core.times.plan_tick, [this] { this->Tick(); });
+	this->scheduler.After(this->core.times.plan_tick, [this] { this->Tick(); });
 }
 
 void KeeperNode::SlowTick()
@@ -160,18 +160,18 @@
 	beat.member = this->name;
 	beat.offset = this->core.State().offset.Value();
 	beat.heard = this->entries.RecentlyHeardEntries();
-	beat.log_age_ms =
-			static_cast<uint32_t>(std::min(this->lane.Now() - this->tail.LastAnswer(), Millis(MS_PER_DAY)).Value());
+	beat.log_age_ms = static_cast<uint32_t>(
+			std::min(this->scheduler.Now() - this->tail.LastAnswer(), Millis(MS_PER_DAY)).Value());
 	for (const auto &other : this->site.keepers) {
-		if (other.get() != this && other->zone == this->zone && *other->lane.alive &&
-			other->lane.paused_until < this->lane.Now()) {
+		if (other.get() != this && other->zone == this->zone && *other->scheduler.alive &&
+			other->scheduler.paused_until < this->scheduler.Now()) {
 			other->entries.OnKeeperBeat(beat);
 		}
 	}
 	/* With no snapshot that continues into the log, the states of peers help. */
 	if (this->tail.Phase() == TailPhase::TP_JOINING) {
 		for (const auto &other : this->site.keepers) {
-			if (other.get() != this && *other->lane.alive && other->tail.Phase() == TailPhase::TP_FOLLOWING) {
+			if (other.get() != this && *other->scheduler.alive && other->tail.Phase() == TailPhase::TP_FOLLOWING) {
 				const FleetState &theirs = other->core.State();
 				std::optional<FleetState> copy = UnpackSnapshot(PackSnapshot(theirs), theirs.Hash());
 				if (copy) {
@@ -180,7 +180,7 @@
 			}
 		}
 	}
-	this->lane.After(Millis(500), [this] { this->SlowTick(); });
+	this->scheduler.After(Millis(500), [this] { this->SlowTick(); });
 }
 
 void KeeperNode::ListTick()
@@ -190,10 +190,10 @@
 		for (const auto &[box, listed] : this->site.platform.boxes) {
 			this->core.list.push_back(listed);
 		}
-		this->core.list_fetched_at = this->lane.Now();
+		this->core.list_fetched_at = this->scheduler.Now();
 		this->entries.Refresh();
 	}
-	this->lane.After(this->core.times.list_tick, [this] { this->ListTick(); });
+	this->scheduler.After(this->core.times.list_tick, [this] { this->ListTick(); });
 }
 
 std::shared_ptr<glade::wire::OutcomeT> KeeperNode::Publish(const std::vector<CellEdit> &cells, uint64_t base)
@@ -215,7 +215,7 @@
 }
 
 EntryStub::EntryStub(FleetSite &site, const std::string &name, const std::string &zone)
-		: site(site), name(name), zone(zone), lane(site.clock),
+		: site(site), name(name), zone(zone), scheduler(site.clock),
 		  routes(EntryIdentity{MemberName(name), ZoneName(zone), Incarnation(1)}, GateSettings{}, LeaseTimes{}),
 		  keeper(nullptr), incarnation(1)
 {
@@ -224,20 +224,20 @@
 void EntryStub::Tick()
 {
 	this->Hello();
-	this->lane.After(HELLO_TICK, [this] { this->Tick(); });
+	this->scheduler.After(HELLO_TICK, [this] { this->Tick(); });
 }
 
 void EntryStub::Hello()
 {
-	if (this->keeper != nullptr && !*this->keeper->lane.alive) {
+	if (this->keeper != nullptr && !*this->keeper->scheduler.alive) {
 		this->keeper = nullptr;
 	}
 	for (const auto &it : this->site.keepers) {
-		if (this->keeper == nullptr && it->zone == this->zone && *it->lane.alive) {
+		if (this->keeper == nullptr && it->zone == this->zone && *it->scheduler.alive) {
 			this->keeper = it.get();
 		}
 	}
-	if (this->keeper == nullptr || this->cut || this->keeper->lane.paused_until > this->lane.Now()) {
+	if (this->keeper == nullptr || this->cut || this->keeper->scheduler.paused_until > this->scheduler.Now()) {
 		return;
 	}
 	glade::wire::EntryHelloT hello;
@@ -248,7 +248,7 @@
 	hello.address = this->name;
 	std::tie(hello.view_version, hello.view_hash) = this->routes.Version();
 	hello.number = ++this->number;
-	this->sent_at[this->number] = this->lane.Now();
+	this->sent_at[this->number] = this->scheduler.Now();
 	for (const auto &[pool, gate] : this->routes.Gates()) {
 		for (const GateEndpoint &it : gate->Drained()) {
 			hello.drained_boxes.push_back(it.box.Value());
@@ -264,8 +264,8 @@
 		return;
 	}
 	if (const auto *view = message.AsView(); view != nullptr) {
-		this->routes.Apply(*view, this->lane.Now());
-		this->lane.Post([this] { this->Hello(); });
+		this->routes.Apply(*view, this->scheduler.Now());
+		this->scheduler.Post([this] { this->Hello(); });
 	} else if (const auto *grant = message.AsLeaseGrant(); grant != nullptr) {
 		this->routes.ExtendLease(this->sent_at[grant->hello_number] + Millis(grant->lease_ms));
 		this->routes.AdvanceOffset(LogOffset(grant->offset));
@@ -297,10 +297,10 @@
 FleetSite::~FleetSite()
 {
 	for (const auto &it : this->keepers) {
-		*it->lane.alive = false;
+		*it->scheduler.alive = false;
 	}
 	for (const auto &it : this->entries) {
-		*it->lane.alive = false;
+		*it->scheduler.alive = false;
 	}
 }
 
@@ -313,7 +313,7 @@
 
 void FleetSite::Kill(KeeperNode &keeper)
 {
-	*keeper.lane.alive = false;
+	*keeper.scheduler.alive = false;
 	for (const auto &it : this->entries) {
 		keeper.entries.OnDown(*it);
 	}
@@ -336,7 +336,7 @@
 KeeperNode &FleetSite::Any()
 {
 	const auto it = std::ranges::find_if(this->keepers, [](const auto &keeper) {
-		return *keeper->lane.alive && !keeper->log.faults.down && keeper->tail.Phase() == TailPhase::TP_FOLLOWING;
+		return *keeper->scheduler.alive && !keeper->log.faults.down && keeper->tail.Phase() == TailPhase::TP_FOLLOWING;
 	});
 	return it == this->keepers.end() ? *this->keepers.front() : **it;
 }
@@ -344,7 +344,7 @@
 KeeperNode &FleetSite::Planner()
 {
 	const auto it = std::ranges::find_if(
-			this->keepers, [](const auto &keeper) { return *keeper->lane.alive && keeper->planner.Holds(); });
+			this->keepers, [](const auto &keeper) { return *keeper->scheduler.alive && keeper->planner.Holds(); });
 	return it == this->keepers.end() ? this->Any() : **it;
 }
 
@@ -439,19 +439,19 @@
 	}
 	this->platform.lose_orders = 0;
 	for (const char *zone : {"zone-a", "zone-b"}) {
-		const bool served =
-				std::ranges::any_of(this->keepers, [&](const auto &it) { return *it->lane.alive && it->zone == zone; });
+		const bool served = std::ranges::any_of(
+				this->keepers, [&](const auto &it) { return *it->scheduler.alive && it->zone == zone; });
 		if (!served) {
 			this->AddKeeper(std::string("keeper-") + zone + "-3", zone);
 		}
 	}
 }
 
-bool FleetSite::Agree() const
+bool FleetSite::StatesAgree() const
 {
 	std::set<std::pair<uint64_t, uint64_t>> states;
 	for (const auto &it : this->keepers) {
-		if (*it->lane.alive) {
+		if (*it->scheduler.alive) {
 			states.insert({it->core.State().offset.Value(), it->core.State().Hash()});
 		}
 	}
--- a/src/standin/memory/fleet_site.h
+++ b/src/standin/memory/fleet_site.h
@@ -62,7 +62,7 @@
 	FleetSite &site;           ///< The site.
 	std::string name;          ///< Its name.
 	std::string zone;          ///< Its zone.
-	NodeScheduler lane;        ///< Its clock.
+	NodeScheduler scheduler;   ///< Its clock.
 	MemoryLog log;             ///< Its way to the log, with its own faults.
 	LogTail tail;              ///< The state.
 	LogWriter writer;          ///< Appends.
@@ -92,7 +92,7 @@
 	FleetSite &site;         ///< The site.
 	std::string name;        ///< Its name.
 	std::string zone;        ///< Its zone.
-	NodeScheduler lane;      ///< Its clock.
+	NodeScheduler scheduler; ///< Its clock.
 	RouteTable routes;       ///< Its view.
 	KeeperNode *keeper;      ///< The keeper that it speaks to.
 	uint64_t incarnation;    ///< Its start.
@@ -141,7 +141,7 @@
 	void Heal();
 
 	/** @return Whether all keepers that live have the same state. */
-	[[nodiscard]] bool Agree() const;
+	[[nodiscard]] bool StatesAgree() const;
 
 	VirtualScheduler clock;                           ///< The clock.
 	LogStore store;                                   ///< The log.
--- a/src/standin/memory/keyed_store.cpp
+++ b/src/standin/memory/keyed_store.cpp
@@ -162,7 +162,7 @@
 	}
 }
 
-void KeyedStore::Redeal()
+void KeyedStore::ReassignPartitions()
 {
 	for (Group &it : this->groups | std::views::values) {
 		it.shift++;
--- a/src/standin/memory/keyed_store.h
+++ b/src/standin/memory/keyed_store.h
@@ -33,7 +33,7 @@
 	/** Forgets the history of all partitions: only newest records stay. */
 	void Compact();
 	/** Deals all partitions of all groups anew, unasked. */
-	void Redeal();
+	void ReassignPartitions();
 
 	std::function<void()> on_append; ///< Told after each append.
 
--- a/src/standin/memory/request_world.cpp
+++ b/src/standin/memory/request_world.cpp
@@ -38,7 +38,7 @@
 
 	[[nodiscard]] std::string Submission() const { return *this->request.headers.Find("Submission"); }
 
-	[[nodiscard]] bool Heard() const { return this->events != nullptr && *this->entry.lane.alive; }
+	[[nodiscard]] bool Heard() const { return this->events != nullptr && *this->entry.scheduler.alive; }
 
 	void Fail(CallFailure failure)
 	{
@@ -49,22 +49,22 @@
 
 	void Arrive()
 	{
-		const EndpointDeed deed = this->endpoint.deed;
+		const EndpointBehavior behavior = this->endpoint.behavior;
 		RequestWorld &world = this->entry.world;
-		if (!*this->entry.lane.alive) {
+		if (!*this->entry.scheduler.alive) {
 			return; /* Killed before the connection stood: nothing was sent. */
 		}
-		if (deed == EndpointDeed::ED_REFUSE) {
+		if (behavior == EndpointBehavior::EB_REFUSE) {
 			world.Note(this->endpoint.box + " refuses the connection");
 			this->Fail(CallFailure::CF_NOT_CONNECTED);
 			return;
 		}
-		if (deed == EndpointDeed::ED_ACCEPT_CLOSE) {
+		if (behavior == EndpointBehavior::EB_ACCEPT_CLOSE) {
 			world.Note(this->endpoint.box + " closes without reading");
 			this->Fail(CallFailure::CF_NO_RESPONSE);
 			return;
 		}
-		if (deed == EndpointDeed::ED_NOT_RUN || this->endpoint.running >= this->endpoint.slots) {
+		if (behavior == EndpointBehavior::EB_NOT_RUN || this->endpoint.running >= this->endpoint.slots) {
 			world.Note(this->endpoint.box + " says not run");
 			this->Answer(503, "no slot", "no");
 			return;
@@ -73,20 +73,20 @@
 		this->endpoint.running++;
 		this->endpoint.peak = std::max(this->endpoint.peak, this->endpoint.running);
 		world.Note(this->endpoint.box + " runs " + this->Submission());
-		const Millis work = deed == EndpointDeed::ED_LATE ? LATE_TIME : this->endpoint.work;
-		world.clock.After(work, [self = this->shared_from_this(), deed] { self->Finish(deed); });
+		const Millis work = behavior == EndpointBehavior::EB_LATE ? LATE_TIME : this->endpoint.work;
+		world.clock.After(work, [self = this->shared_from_this(), behavior] { self->Finish(behavior); });
 	}
 
-	void Finish(EndpointDeed deed)
+	void Finish(EndpointBehavior behavior)
 	{
 		this->endpoint.running--;
-		if (deed == EndpointDeed::ED_READ_CLOSE) {
+		if (behavior == EndpointBehavior::EB_READ_CLOSE) {
 			this->entry.world.Note(this->endpoint.box + " closes without answering");
 			this->Fail(CallFailure::CF_NO_RESPONSE);
-		} else if (deed == EndpointDeed::ED_HALF_CLOSE || deed == EndpointDeed::ED_HALF_STALL) {
-			this->Half(deed);
+		} else if (behavior == EndpointBehavior::EB_HALF_CLOSE || behavior == EndpointBehavior::EB_HALF_STALL) {
+			this->Half(behavior);
 		} else {
-			this->Answer(deed == EndpointDeed::ED_ERROR ? 500 : 200, this->request.body, nullptr);
+			this->Answer(behavior == EndpointBehavior::EB_ERROR ? 500 : 200, this->request.body, nullptr);
 		}
 	}
 
@@ -101,7 +101,7 @@
 		return head;
 	}
 
-	void Half(EndpointDeed deed)
+	void Half(EndpointBehavior behavior)
 	{
 		if (!this->Heard()) {
 			return;
@@ -111,7 +111,7 @@
 			this->events->OnResponseBody(this->request.body.substr(0, this->request.body.size() / 2));
 		}
 		this->entry.world.Note(this->endpoint.box + " answers half");
-		if (deed == EndpointDeed::ED_HALF_CLOSE) {
+		if (behavior == EndpointBehavior::EB_HALF_CLOSE) {
 			this->Fail(CallFailure::CF_TRUNCATED);
 		}
 	}
@@ -173,11 +173,11 @@
 		CallEvents *events;                 ///< Gets what happens.
 		std::shared_ptr<Exchange> exchange; ///< The request at the other entry.
 
-		[[nodiscard]] bool Heard() const { return this->events != nullptr && *this->from.lane.alive; }
+		[[nodiscard]] bool Heard() const { return this->events != nullptr && *this->from.scheduler.alive; }
 
 		void Arrive(const std::shared_ptr<State> &self)
 		{
-			if (this->to == nullptr || !*this->to->lane.alive || this->to->cut_from_peers ||
+			if (this->to == nullptr || !*this->to->scheduler.alive || this->to->cut_from_peers ||
 				this->from.cut_from_peers) {
 				if (this->Heard()) {
 					std::exchange(this->events, nullptr)->OnCallFailed(CallFailure::CF_NOT_CONNECTED);
@@ -186,8 +186,8 @@
 			}
 			this->from.world.Note(this->from.name + " forwards to " + this->to->name);
 			this->request.from_peer = true;
-			this->exchange =
-					std::make_shared<Exchange>(this->to->lane, this->to->path, *this->to->dialer, *this, this->request);
+			this->exchange = std::make_shared<Exchange>(this->to->scheduler, this->to->path, *this->to->dialer, *this,
+														this->request);
 			this->from.world.clock.After(Millis(60000), [self] { self->exchange.reset(); });
 			this->exchange->Start();
 			this->Watch(self);
@@ -196,7 +196,7 @@
 		/** Tells the caller's entry when the other is killed. */
 		void Watch(const std::shared_ptr<State> &self)
 		{
-			if (!*this->to->lane.alive) {
+			if (!*this->to->scheduler.alive) {
 				if (this->Heard()) {
 					std::exchange(this->events, nullptr)->OnCallFailed(CallFailure::CF_NO_RESPONSE);
 				}
@@ -253,7 +253,7 @@
 		}
 		EntryNode *to = nullptr;
 		for (const auto &it : world.entries) {
-			to = it->address == address && *it->lane.alive ? it.get() : to;
+			to = it->address == address && *it->scheduler.alive ? it.get() : to;
 		}
 		return std::make_unique<PeerCall>(this->entry, to, request, events);
 	}
@@ -264,11 +264,11 @@
 
 } // namespace
 
-const char *NameOf(EndpointDeed deed)
+const char *NameOf(EndpointBehavior behavior)
 {
 	static constexpr const char *_names[] = {"answer",     "refuse", "accept_close", "read_close", "half_close",
 											 "half_stall", "late",   "not_run",      "error"};
-	return _names[static_cast<size_t>(deed)];
+	return _names[static_cast<size_t>(behavior)];
 }
 
 void CallerProbe::Begin(const ResponseHead &it)
@@ -319,7 +319,7 @@
 }
 
 EntryNode::EntryNode(RequestWorld &world, const std::string &name, const std::string &zone, uint64_t incarnation)
-		: name(name), address(name + ":" + std::to_string(incarnation)), lane(world.clock),
+		: name(name), address(name + ":" + std::to_string(incarnation)), scheduler(world.clock),
 		  path(EntryIdentity{MemberName(name), ZoneName(zone), Incarnation(incarnation)}, GateSettings{}, LeaseTimes{},
 			   KeyLimits{}, RequestSettings{}, this->credentials),
 		  dialer(std::make_unique<FakeDialer>(*this)), world(world)
@@ -360,7 +360,7 @@
 RequestWorld::~RequestWorld()
 {
 	for (const auto &it : this->probes) {
-		if (it->exchange && *it->entry->lane.alive && !it->gone && !it->ended && !it->broken) {
+		if (it->exchange && *it->entry->scheduler.alive && !it->gone && !it->ended && !it->broken) {
 			it->exchange->OnCallerDisconnected();
 		}
 	}
@@ -381,16 +381,16 @@
 	this->fleet.time = this->clock.WallNow();
 	ZoneChange change = this->fleet.zones[member.zone];
 	this->fleet.zones[member.zone] = ZoneChange{change.changes + 1, this->fleet.time};
-	this->PushViews();
+	this->PublishViews();
 	return *this->entries.back();
 }
 
-void RequestWorld::PushViews()
+void RequestWorld::PublishViews()
 {
 	this->fleet.offset = LogOffset(this->fleet.offset.Value() + 1);
 	this->view_version++;
 	for (const auto &entry : this->entries) {
-		if (!*entry->lane.alive || !entry->renew) {
+		if (!*entry->scheduler.alive || !entry->renew) {
 			continue;
 		}
 		glade::wire::ViewT view = BuildView(this->fleet, entry->path.self.zone, {});
@@ -418,11 +418,11 @@
 	probe.world = this;
 	probe.entry = &entry;
 	this->Note(name + " sends " + method + (key.empty() ? "" : " with key") + " to " + entry.name);
-	if (!*entry.lane.alive) {
+	if (!*entry.scheduler.alive) {
 		probe.Abort();
 		return probe;
 	}
-	probe.exchange = std::make_shared<Exchange>(entry.lane, entry.path, *entry.dialer, probe, request);
+	probe.exchange = std::make_shared<Exchange>(entry.scheduler, entry.path, *entry.dialer, probe, request);
 	probe.exchange->Start();
 	return probe;
 }
@@ -430,7 +430,7 @@
 void RequestWorld::Kill(EntryNode &entry)
 {
 	this->Note(entry.name + " is killed");
-	*entry.lane.alive = false;
+	*entry.scheduler.alive = false;
 	for (const auto &it : this->probes) {
 		if (it->entry == &entry && !it->ended && !it->gone && !it->broken) {
 			it->Abort();
@@ -441,7 +441,7 @@
 void RequestWorld::Tick()
 {
 	for (const auto &entry : this->entries) {
-		if (!*entry->lane.alive) {
+		if (!*entry->scheduler.alive) {
 			continue;
 		}
 		if (entry->renew) {
@@ -465,7 +465,7 @@
 	this->timeline += std::string(at.size() < 6 ? 6 - at.size() : 0, ' ') + at + "  " + line + "\n";
 }
 
-std::string RequestWorld::FreshKey(const std::string &tail)
+std::string RequestWorld::NewKey(const std::string &tail)
 {
 	return std::to_string(this->clock.WallNow().Value()) + "-" + tail;
 }
--- a/src/standin/memory/request_world.h
+++ b/src/standin/memory/request_world.h
@@ -16,33 +16,33 @@
 #include <vector>
 
 /** What an endpoint does with a request. */
-enum class EndpointDeed : uint8_t {
-	ED_ANSWER,       ///< Runs it and answers.
-	ED_REFUSE,       ///< Refuses the connection.
-	ED_ACCEPT_CLOSE, ///< Accepts and closes without reading.
-	ED_READ_CLOSE,   ///< Reads it, runs it, closes without answering.
-	ED_HALF_CLOSE,   ///< Runs it, answers half, closes.
-	ED_HALF_STALL,   ///< Runs it, answers half, stalls.
-	ED_LATE,         ///< Runs it, answers after the deadline.
-	ED_NOT_RUN,      ///< Answers 503, not run.
-	ED_ERROR,        ///< Runs it, answers 500.
-	ED_COUNT,        ///< Number of deeds.
+enum class EndpointBehavior : uint8_t {
+	EB_ANSWER,       ///< Runs it and answers.
+	EB_REFUSE,       ///< Refuses the connection.
+	EB_ACCEPT_CLOSE, ///< Accepts and closes without reading.
+	EB_READ_CLOSE,   ///< Reads it, runs it, closes without answering.
+	EB_HALF_CLOSE,   ///< Runs it, answers half, closes.
+	EB_HALF_STALL,   ///< Runs it, answers half, stalls.
+	EB_LATE,         ///< Runs it, answers after the deadline.
+	EB_NOT_RUN,      ///< Answers 503, not run.
+	EB_ERROR,        ///< Runs it, answers 500.
+	EB_COUNT,        ///< Number of deeds.
 };
 
-const char *NameOf(EndpointDeed deed); ///< Word for timelines.
+const char *NameOf(EndpointBehavior behavior); ///< Word for timelines.
 
 class RequestWorld;
 struct EntryNode;
 
 /** An endpoint. */
 struct FakeEndpoint {
-	std::string box;                             ///< Its box.
-	EndpointDeed deed = EndpointDeed::ED_ANSWER; ///< What it does.
-	Millis work = Millis(5);                     ///< Time that a request takes.
-	uint32_t slots = 8;                          ///< Slots.
-	uint32_t running = 0;                        ///< Requests running.
-	uint32_t peak = 0;                           ///< Most that ran side by side.
-	std::vector<std::string> runs;               ///< Submissions that ran, by their header "Submission".
+	std::string box;                                         ///< Its box.
+	EndpointBehavior behavior = EndpointBehavior::EB_ANSWER; ///< What it does.
+	Millis work = Millis(5);                                 ///< Time that a request takes.
+	uint32_t slots = 8;                                      ///< Slots.
+	uint32_t running = 0;                                    ///< Requests running.
+	uint32_t peak = 0;                                       ///< Most that ran side by side.
+	std::vector<std::string> runs;                           ///< Submissions that ran, by their header "Submission".
 };
 
 /** What a caller saw. */
@@ -87,7 +87,7 @@
 
 	std::string name;                       ///< Its name.
 	std::string address;                    ///< Its address for peers.
-	NodeScheduler lane;                     ///< Its clock.
+	NodeScheduler scheduler;                ///< Its clock.
 	OpenCredentials credentials;            ///< Who may call.
 	RequestPath path;                       ///< The request path.
 	std::unique_ptr<EndpointDialer> dialer; ///< Its calls.
@@ -106,7 +106,7 @@
 	EntryNode &AddEntry(const std::string &name, const std::string &zone);
 
 	/** Publishes the present membership and boxes to all entries that live. */
-	void PushViews();
+	void PublishViews();
 
 	/** Sends a request. */
 	CallerProbe &Submit(EntryNode &entry, const std::string &method, const std::string &name,
@@ -122,7 +122,7 @@
 	void Note(const std::string &line);
 
 	/** A key issued now. */
-	std::string FreshKey(const std::string &tail);
+	std::string NewKey(const std::string &tail);
 
 	/** How often a submission ran, over all endpoints. */
 	[[nodiscard]] int RunsOf(const std::string &submission) const;
--- a/tests/job_world.h
+++ b/tests/job_world.h
@@ -211,7 +211,7 @@
 		known.service = job.service;
 		known.run_time = run_time;
 		known.fail_first = fail_first;
-		this->site.Know(known);
+		this->site.AddJob(known);
 		this->clock.After(at, [this, &job] { this->HandIn(job); });
 		return job;
 	}
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -89,7 +89,7 @@
 	job->body = BodyOf(QJsonObject{{"spec", QString::fromStdString(job->spec.payload)}, {"steps", steps}});
 	known.spec = job->spec;
 	known.service = ServiceName(job->service);
-	this->boxes.site.Know(known);
+	this->boxes.site.AddJob(known);
 	return job;
 }
 
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -139,7 +139,7 @@
 			 }},
 			{"store_redeals",
 			 [this, nothing] {
-				 this->store.store.Redeal();
+				 this->store.store.ReassignPartitions();
 				 return nothing();
 			 }},
 			{"config",
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -61,7 +61,7 @@
 		return false;
 	}
 	this->boxes.site.guarded = false;
-	this->boxes.site.back_after = BACK_AFTER;
+	this->boxes.site.restart_delay = BACK_AFTER;
 	this->boxes.on_restart = [this] { this->PublishReports(); };
 	this->AddBoxes();
 	this->PublishConfig(true);
@@ -231,14 +231,15 @@
 	/* Mostly back under the id that they had, before anybody has missed them or long after. */
 	BoxSite &site = this->boxes.site;
 	const std::vector<BoxReport> all = site.Reports();
-	const Millis usual = site.back_after;
+	const Millis usual = site.restart_delay;
 	for (uint32_t n = 0; n < 1 + this->crashes() % CRASHES_MOST; n++) {
 		const bool soon = this->crashes() % 2 == 0;
-		site.back_after = Millis(BACK_LEAST + static_cast<int64_t>(this->crashes() % (soon ? BACK_SOON : BACK_MOST)));
+		site.restart_delay =
+				Millis(BACK_LEAST + static_cast<int64_t>(this->crashes() % (soon ? BACK_SOON : BACK_MOST)));
 		site.keeps_id = this->crashes() % OTHER_ID_OF != 0;
 		site.Crash(all[this->crashes() % all.size()].box);
 	}
-	site.back_after = usual;
+	site.restart_delay = usual;
 	this->scheduler.After(CRASHES_EVERY, [this] { this->NextCrashes(); });
 }
 
--- a/tests/test_accounts.cpp
+++ b/tests/test_accounts.cpp
@@ -66,7 +66,7 @@
 		known.spec.steps.front().demand = Resources{5, 0, 0};
 		known.spec.steps.front().lasting = true;
 		known.service = ServiceName("calc");
-		this->world.site.Know(known);
+		this->world.site.AddJob(known);
 		this->Publish(Accounts({{"oyo", KEY_A}, {"kaduna", KEY_B}}));
 		this->world.clock.RunUntil(Millis(3000));
 	}
--- a/tests/test_advice.cpp
+++ b/tests/test_advice.cpp
@@ -12,7 +12,7 @@
 	AdvisedWorld() : JobWorld(0)
 	{
 		this->config.routes[0].needs_ticket = true;
-		this->site.ticket_holds = [this](const BoxReport &box, const StartOrder &order) {
+		this->site.ticket_valid = [this](const BoxReport &box, const StartOrder &order) {
 			return box.service != ServiceName("calc") || this->advisor.Holds(order);
 		};
 		for (const char *name : {"node-0", "node-1", "node-2"}) {
--- a/tests/test_crashing_tasks.cpp
+++ b/tests/test_crashing_tasks.cpp
@@ -116,7 +116,7 @@
 {
 	/* Found by the soak: each of two owners was killed just after a start, and neither start was counted. */
 	CrashingDay day(1);
-	day.world.site.back_after = Millis(1200);
+	day.world.site.restart_delay = Millis(1200);
 	uint64_t crashes = 0;
 	while (crashes < 5 && day.world.clock.Now() < Millis(30000)) {
 		REQUIRE(day.world.clock.RunNextTimer());
@@ -136,7 +136,7 @@
 TEST_CASE("a task is given up also when its boxes are back only after its lease has lapsed")
 {
 	CrashingDay day(1);
-	day.world.site.back_after = Millis(9000);
+	day.world.site.restart_delay = Millis(9000);
 	day.world.clock.RunUntil(WHOLE);
 	day.Run();
 }
@@ -215,7 +215,7 @@
 {
 	/* Found by the soak: after four such crashes it was not started any more. */
 	JobWorld world;
-	world.site.back_after = Millis(1200);
+	world.site.restart_delay = Millis(1200);
 	const WorldJob &job = world.Plan(Millis(1000), "calc", JobWorld::Lasting(1));
 	for (int crash = 0; crash < 6; crash++) {
 		while (world.site.Running(job.spec.id) < 1 && world.clock.Now() < WHOLE) {
@@ -253,7 +253,7 @@
 {
 	/* Found by the soak: moves were ordered and rejected, and for ten seconds no crash of these boxes was counted. */
 	CrashingDay day(1);
-	day.world.site.back_after = Millis(1200);
+	day.world.site.restart_delay = Millis(1200);
 	day.world.clock.RunUntil(Millis(1400));
 	WorldNode *owner = day.world.OwnerOf(CALC);
 	REQUIRE(owner != nullptr);
@@ -271,7 +271,7 @@
 TEST_CASE("a drain that began after a box had crashed doesn't hide the crash")
 {
 	CrashingDay day(1);
-	day.world.site.back_after = Millis(1200);
+	day.world.site.restart_delay = Millis(1200);
 	std::map<BoxName, Millis> down_at;
 	for (Millis at(1400); at < Millis(30000); at = at + Millis(100)) {
 		day.world.clock.RunUntil(at);
--- a/tests/test_fleet_matrix.cpp
+++ b/tests/test_fleet_matrix.cpp
@@ -166,7 +166,7 @@
 			this->site.Kill(this->site.Planner());
 			break;
 		case SiteFault::SF_PLANNER_PAUSED:
-			this->site.Planner().lane.paused_until = this->site.clock.Now() + Millis(10000);
+			this->site.Planner().scheduler.paused_until = this->site.clock.Now() + Millis(10000);
 			break;
 		case SiteFault::SF_KEEPER_REPLACED: {
 			KeeperNode &old = this->site.Any();
@@ -222,7 +222,7 @@
 					const bool quiet = std::ranges::none_of(fleet.jobs, [](const auto &it) {
 						return it.second.state == JobState::JS_WAITING || it.second.state == JobState::JS_PLACED;
 					});
-					return maintained && quiet && this->site.Agree();
+					return maintained && quiet && this->site.StatesAgree();
 				},
 				Millis(180000));
 	}
@@ -232,7 +232,7 @@
 		for (const std::string &it : this->site.violations) {
 			FAIL_CHECK(it);
 		}
-		CHECK(this->site.Agree());
+		CHECK(this->site.StatesAgree());
 		const FleetState &fleet = this->site.Any().core.State();
 		CHECK(fleet.Hash() == fleet.RecomputeHash());
 		for (const auto &it : fleet.boxes) {
--- a/tests/test_group.cpp
+++ b/tests/test_group.cpp
@@ -116,7 +116,7 @@
 	WorldNode *owner = world.OwnerOf(ServiceName("calc"));
 	REQUIRE(owner != nullptr);
 	for (int64_t at = 4000; at < 8000; at += 1000) {
-		world.store.Redeal();
+		world.store.ReassignPartitions();
 		world.clock.RunUntil(Millis(at));
 		CHECK(world.OwnerOf(ServiceName("calc")) == owner);
 	}
--- a/tests/test_job_matrix.cpp
+++ b/tests/test_job_matrix.cpp
@@ -133,7 +133,8 @@
 				  owner.member.Leave([] {});
 			  },
 			  [](JobWorld &) {}},
-		Fault{"partitions dealt anew", [](JobWorld &w) { w.store.Redeal(); }, [](JobWorld &w) { w.store.Redeal(); }},
+		Fault{"partitions dealt anew", [](JobWorld &w) { w.store.ReassignPartitions(); },
+			  [](JobWorld &w) { w.store.ReassignPartitions(); }},
 		Fault{"history forgotten", [](JobWorld &w) { w.store.Compact(); }, [](JobWorld &w) { w.store.Compact(); }},
 		Fault{"box dark", [](JobWorld &w) { FirstBox(w).dark = true; }, [](JobWorld &w) { FirstBox(w).dark = false; }},
 		Fault{"box dark, owner killed",
@@ -365,7 +366,7 @@
 {
 	JobWorld world;
 	for (const BoxReport &it : world.site.Reports()) {
-		world.site.faults[it.box].lose_lists = 2;
+		world.site.faults[it.box].lose_lease_every = 2;
 	}
 	world.clock.RunUntil(Millis(3000));
 	WorldNode *owner = world.OwnerOf(ServiceName("calc"));
--- a/tests/test_keeper.cpp
+++ b/tests/test_keeper.cpp
@@ -104,7 +104,7 @@
 	KeeperNode &late = site.AddKeeper("keeper-late", "zone-a");
 	site.Run(Millis(5000));
 	CHECK(late.tail.CaughtUp());
-	CHECK(site.Agree());
+	CHECK(site.StatesAgree());
 	CHECK(site.violations.empty());
 }
 
--- a/tests/test_planned_stops.cpp
+++ b/tests/test_planned_stops.cpp
@@ -27,7 +27,7 @@
 struct PlannedWorld {
 	PlannedWorld() : job(this->world.Plan(Millis(1000), "calc", JobWorld::Lasting(3)))
 	{
-		this->world.site.stop_takes = STOP_TAKES;
+		this->world.site.stop_delay = STOP_TAKES;
 		this->world.clock.RunUntil(Millis(4000));
 		REQUIRE(this->world.site.Running(this->job.spec.id) == 3);
 		this->before = this->world.OwnerOf(CALC);
--- a/tests/test_request_matrix.cpp
+++ b/tests/test_request_matrix.cpp
@@ -49,15 +49,15 @@
 /** One cell of the matrix. */
 class MatrixCell {
 public:
-	MatrixCell(EndpointDeed deed, Mishap mishap, const StepAt &step, const Kind &kind)
-			: deed(deed), mishap(mishap), step(step), kind(kind)
+	MatrixCell(EndpointBehavior behavior, Mishap mishap, const StepAt &step, const Kind &kind)
+			: behavior(behavior), mishap(mishap), step(step), kind(kind)
 	{
 	}
 
 	void Run()
 	{
 		for (auto &[address, endpoint] : this->world.endpoints) {
-			endpoint.deed = this->deed;
+			endpoint.behavior = this->behavior;
 		}
 		this->key = this->kind.keyed ? this->OwnedKey() : "";
 		this->first = &this->world.Submit(*this->world.entries[0], this->kind.method, "first", this->key);
@@ -66,7 +66,7 @@
 		this->world.Run(Millis(10000));
 		/* Whatever happened, the caller tries again through each entry that lives. */
 		for (size_t i = 0; i < this->world.entries.size(); i++) {
-			if (this->kind.keyed && *this->world.entries[i]->lane.alive) {
+			if (this->kind.keyed && *this->world.entries[i]->scheduler.alive) {
 				this->again.push_back(
 						&this->world.Submit(*this->world.entries[i], "POST", "again" + std::to_string(i), this->key));
 				this->world.Run(Millis(10000));
@@ -79,7 +79,7 @@
 	[[nodiscard]] const std::string &Timeline() const { return this->world.timeline; }
 
 private:
-	EndpointDeed deed;                ///< What endpoints do.
+	EndpointBehavior behavior;        ///< What endpoints do.
 	Mishap mishap;                    ///< What else happens.
 	StepAt step;                      ///< When.
 	Kind kind;                        ///< Kind of request.
@@ -93,7 +93,7 @@
 	{
 		const EntryNode &owner = *this->world.entries[this->kind.owner];
 		for (int i = 0;; i++) {
-			std::string candidate = this->world.FreshKey(std::to_string(i));
+			std::string candidate = this->world.NewKey(std::to_string(i));
 			const KeyId id{AccountName("oyo"), ServiceName("misting"), candidate};
 			const KeyOwner found =
 					owner.path.routes.OwnerOf(id, *KeyIssueTime(candidate), Millis(0), this->world.clock.Now());
@@ -150,7 +150,7 @@
 				box.state = BoxState::BS_DRAINING;
 			}
 		}
-		this->world.PushViews();
+		this->world.PublishViews();
 	}
 
 	/** Every answer is the submission's own, whole, or visibly broken; "not run" is true. */
@@ -163,7 +163,7 @@
 			CHECK(probe.body == (this->key.empty() ? "body of " + probe.name : "body of " + this->key));
 		}
 		if (!probe.ended && !probe.gone) {
-			const bool stalls = this->deed == EndpointDeed::ED_HALF_STALL;
+			const bool stalls = this->behavior == EndpointBehavior::EB_HALF_STALL;
 			CHECK((probe.broken || (stalls && probe.begun)));
 		}
 	}
@@ -182,7 +182,7 @@
 		for (const auto &[address, endpoint] : this->world.endpoints) {
 			CHECK(endpoint.peak <= endpoint.slots);
 		}
-		const bool healthy = this->deed == EndpointDeed::ED_ANSWER;
+		const bool healthy = this->behavior == EndpointBehavior::EB_ANSWER;
 		if (healthy && (this->mishap == Mishap::MH_ENTRY_STOPS || this->mishap == Mishap::MH_BOX_DRAINS ||
 						this->mishap == Mishap::MH_NONE)) {
 			CHECK(this->first->ended);
@@ -201,14 +201,14 @@
 TEST_CASE("request matrix: endpoint deeds x mishaps x steps x kinds")
 {
 	int cells = 0;
-	for (int deed = 0; deed < static_cast<int>(EndpointDeed::ED_COUNT); deed++) {
+	for (int behavior = 0; behavior < static_cast<int>(EndpointBehavior::EB_COUNT); behavior++) {
 		for (int mishap = 0; mishap < static_cast<int>(Mishap::MH_COUNT); mishap++) {
 			for (const StepAt &step : _steps) {
 				for (const Kind &kind : _kinds) {
-					const std::string name = std::string(NameOf(static_cast<EndpointDeed>(deed))) + " x " +
+					const std::string name = std::string(NameOf(static_cast<EndpointBehavior>(behavior))) + " x " +
 											 _mishap_names[mishap] + " x " + step.name + " x " + kind.name;
 					CAPTURE(name);
-					MatrixCell(static_cast<EndpointDeed>(deed), static_cast<Mishap>(mishap), step, kind).Run();
+					MatrixCell(static_cast<EndpointBehavior>(behavior), static_cast<Mishap>(mishap), step, kind).Run();
 					cells++;
 				}
 			}
@@ -221,26 +221,26 @@
 {
 	struct Session {
 		const char *name;
-		EndpointDeed deed;
+		EndpointBehavior behavior;
 		Mishap mishap;
 		size_t step;
 		size_t kind;
 	};
 	static constexpr Session _sessions[] = {
-			{"answered", EndpointDeed::ED_ANSWER, Mishap::MH_NONE, 0, 2},
-			{"read_and_closed", EndpointDeed::ED_READ_CLOSE, Mishap::MH_NONE, 0, 1},
-			{"refused_then_tried_elsewhere", EndpointDeed::ED_REFUSE, Mishap::MH_NONE, 0, 1},
-			{"half_answer", EndpointDeed::ED_HALF_CLOSE, Mishap::MH_NONE, 0, 0},
-			{"late_answer", EndpointDeed::ED_LATE, Mishap::MH_NONE, 0, 2},
-			{"entry_killed_while_running", EndpointDeed::ED_ANSWER, Mishap::MH_ENTRY_KILLED, 2, 3},
-			{"entry_replaced_while_running", EndpointDeed::ED_ANSWER, Mishap::MH_ENTRY_REPLACED, 2, 2},
-			{"planned_stop_while_running", EndpointDeed::ED_ANSWER, Mishap::MH_ENTRY_STOPS, 2, 1},
-			{"retried_elsewhere_while_running", EndpointDeed::ED_ANSWER, Mishap::MH_RETRY_THERE, 2, 3},
-			{"caller_leaves_while_running", EndpointDeed::ED_ANSWER, Mishap::MH_CALLER_LEAVES, 2, 2},
+			{"answered", EndpointBehavior::EB_ANSWER, Mishap::MH_NONE, 0, 2},
+			{"read_and_closed", EndpointBehavior::EB_READ_CLOSE, Mishap::MH_NONE, 0, 1},
+			{"refused_then_tried_elsewhere", EndpointBehavior::EB_REFUSE, Mishap::MH_NONE, 0, 1},
+			{"half_answer", EndpointBehavior::EB_HALF_CLOSE, Mishap::MH_NONE, 0, 0},
+			{"late_answer", EndpointBehavior::EB_LATE, Mishap::MH_NONE, 0, 2},
+			{"entry_killed_while_running", EndpointBehavior::EB_ANSWER, Mishap::MH_ENTRY_KILLED, 2, 3},
+			{"entry_replaced_while_running", EndpointBehavior::EB_ANSWER, Mishap::MH_ENTRY_REPLACED, 2, 2},
+			{"planned_stop_while_running", EndpointBehavior::EB_ANSWER, Mishap::MH_ENTRY_STOPS, 2, 1},
+			{"retried_elsewhere_while_running", EndpointBehavior::EB_ANSWER, Mishap::MH_RETRY_THERE, 2, 3},
+			{"caller_leaves_while_running", EndpointBehavior::EB_ANSWER, Mishap::MH_CALLER_LEAVES, 2, 2},
 	};
 	for (const Session &it : _sessions) {
 		CAPTURE(it.name);
-		MatrixCell cell(it.deed, it.mishap, _steps[it.step], _kinds[it.kind]);
+		MatrixCell cell(it.behavior, it.mishap, _steps[it.step], _kinds[it.kind]);
 		cell.Run();
 		CHECK_GOLDEN(it.name, cell.Timeline());
 	}
--- a/tests/test_request_path.cpp
+++ b/tests/test_request_path.cpp
@@ -8,7 +8,7 @@
 TEST_CASE("keys: a second entry replays the answer of the first, and another request with the key is refused")
 {
 	RequestWorld world;
-	const std::string key = world.FreshKey("k");
+	const std::string key = world.NewKey("k");
 	const CallerProbe &first = world.Submit(*world.entries[0], "POST", "first", key);
 	world.Run(Millis(100));
 	const CallerProbe &second = world.Submit(*world.entries[1], "POST", "second", key);
@@ -24,7 +24,7 @@
 TEST_CASE("keys: member firms do not share them")
 {
 	RequestWorld world;
-	const std::string key = world.FreshKey("k");
+	const std::string key = world.NewKey("k");
 	world.Submit(*world.entries[0], "POST", "oyo", key);
 	world.Run(Millis(100));
 	CallerRequest request;
@@ -36,7 +36,7 @@
 	request.headers.Add("Idempotency-Key", key);
 	CallerProbe probe;
 	probe.world = &world;
-	auto exchange = std::make_shared<Exchange>(world.entries[0]->lane, world.entries[0]->path,
+	auto exchange = std::make_shared<Exchange>(world.entries[0]->scheduler, world.entries[0]->path,
 											   *world.entries[0]->dialer, probe, request);
 	exchange->Start();
 	world.Run(Millis(100));
@@ -68,7 +68,7 @@
 	RequestWorld world(4, 1);
 	world.entries[0]->renew = false;
 	world.Run(Millis(3000));
-	const CallerProbe &keyed = world.Submit(*world.entries[0], "POST", "keyed", world.FreshKey("k"));
+	const CallerProbe &keyed = world.Submit(*world.entries[0], "POST", "keyed", world.NewKey("k"));
 	const CallerProbe &plain = world.Submit(*world.entries[0], "POST", "plain");
 	world.Run(Millis(100));
 	CHECK(keyed.Code() == 2308);
@@ -83,7 +83,7 @@
 	std::vector<std::string> keys;
 	keys.reserve(200);
 	for (int i = 0; i < 200; i++) {
-		keys.push_back(world.FreshKey(std::to_string(i)));
+		keys.push_back(world.NewKey(std::to_string(i)));
 	}
 	world.AddEntry("entry-9", "zone-a");
 	int refused = 0;
@@ -97,7 +97,7 @@
 	CHECK(refused < 75);
 	world.Run(Millis(10000));
 	for (int i = 0; i < 50; i++) {
-		const std::string key = world.FreshKey("later" + std::to_string(i));
+		const std::string key = world.NewKey("later" + std::to_string(i));
 		const CallerProbe &probe = world.Submit(*world.entries[0], "POST", key, key);
 		world.Run(Millis(10));
 		CHECK(probe.head.status == 200);
@@ -108,7 +108,7 @@
 {
 	RequestWorld world(1, 2);
 	FakeEndpoint &endpoint = world.endpoints.begin()->second;
-	endpoint.deed = EndpointDeed::ED_LATE;
+	endpoint.behavior = EndpointBehavior::EB_LATE;
 	for (int i = 0; i < 40; i++) {
 		CallerProbe &probe = world.Submit(*world.entries[static_cast<size_t>(i % 2)], "POST", "p" + std::to_string(i));
 		world.Run(Millis(150));
@@ -144,15 +144,15 @@
 TEST_CASE("retries: not run is tried elsewhere first, within the budget")
 {
 	RequestWorld world(4, 1);
-	world.endpoints["endpoint-1:80"].deed = EndpointDeed::ED_NOT_RUN;
-	world.endpoints["endpoint-2:80"].deed = EndpointDeed::ED_REFUSE;
+	world.endpoints["endpoint-1:80"].behavior = EndpointBehavior::EB_NOT_RUN;
+	world.endpoints["endpoint-2:80"].behavior = EndpointBehavior::EB_REFUSE;
 	for (int i = 0; i < 50; i++) {
 		const CallerProbe &probe = world.Submit(*world.entries[0], "POST", "p" + std::to_string(i));
 		world.Run(Millis(100));
 		CHECK(probe.head.status == 200);
 	}
 	for (auto &[address, endpoint] : world.endpoints) {
-		endpoint.deed = EndpointDeed::ED_NOT_RUN;
+		endpoint.behavior = EndpointBehavior::EB_NOT_RUN;
 	}
 	const uint64_t before = world.entries[0]->path.counters.retries;
 	for (int i = 0; i < 200; i++) {
@@ -166,7 +166,7 @@
 TEST_CASE("routing: a whole wave of failures does not empty a pool, one failing endpoint is left out")
 {
 	RequestWorld world(6, 1);
-	world.endpoints["endpoint-3:80"].deed = EndpointDeed::ED_READ_CLOSE;
+	world.endpoints["endpoint-3:80"].behavior = EndpointBehavior::EB_READ_CLOSE;
 	int broken = 0;
 	for (int i = 0; i < 200; i++) {
 		const CallerProbe &probe = world.Submit(*world.entries[0], "POST", "p" + std::to_string(i));
@@ -175,7 +175,7 @@
 	}
 	CHECK(broken <= 8);
 	for (auto &[address, endpoint] : world.endpoints) {
-		endpoint.deed = EndpointDeed::ED_REFUSE;
+		endpoint.behavior = EndpointBehavior::EB_REFUSE;
 	}
 	for (int i = 0; i < 100; i++) {
 		world.Submit(*world.entries[0], "GET", "g" + std::to_string(i));
@@ -184,7 +184,7 @@
 	const auto views = world.entries[0]->path.routes.Gates().begin()->second->Endpoints(world.clock.Now());
 	CHECK(std::ranges::count(views, true, &EndpointStatus::ejected) <= 2);
 	for (auto &[address, endpoint] : world.endpoints) {
-		endpoint.deed = EndpointDeed::ED_ANSWER;
+		endpoint.behavior = EndpointBehavior::EB_ANSWER;
 	}
 	const CallerProbe &well = world.Submit(*world.entries[0], "GET", "well");
 	world.Run(Millis(100));
@@ -229,7 +229,7 @@
 	Box &box = world.fleet.boxes[BoxName("box-1")];
 	box.state = BoxState::BS_DRAINING;
 	box.permit = PermitId(77);
-	world.PushViews();
+	world.PublishViews();
 	const auto gate = world.entries[0]->path.routes.Gates().begin()->second;
 	CHECK(gate->Drained().empty());
 	for (int i = 0; i < 5; i++) {
@@ -277,7 +277,7 @@
 {
 	RequestWorld world(1, 1);
 	FakeEndpoint &endpoint = world.endpoints.begin()->second;
-	endpoint.deed = EndpointDeed::ED_READ_CLOSE;
+	endpoint.behavior = EndpointBehavior::EB_READ_CLOSE;
 	const CallerProbe &probe = world.Submit(*world.entries[0], "GET", "get");
 	world.Run(Millis(5000));
 	CHECK(probe.Code() == 2201);
--- a/tests/test_room.cpp
+++ b/tests/test_room.cpp
@@ -30,7 +30,7 @@
 void SetListsHeard(JobWorld &world, bool heard)
 {
 	for (const BoxReport &it : world.site.Reports()) {
-		world.site.faults[it.box].lose_lists = heard ? 0 : 1;
+		world.site.faults[it.box].lose_lease_every = heard ? 0 : 1;
 	}
 }
 
--- a/tests/test_same_id.cpp
+++ b/tests/test_same_id.cpp
@@ -9,7 +9,7 @@
 
 /** A day on which boxes crash in a row. */
 struct CrashDay {
-	Millis back_after;             ///< A box is back after this.
+	Millis restart_delay;          ///< A box is back after this.
 	Millis run_time = Millis(300); ///< Of each task.
 	bool listed = false;           ///< Whether owners hear of boxes that are listed as down.
 	bool owner_killed = false;     ///< Whether the owner is killed amid.
@@ -32,7 +32,7 @@
 CrashDayEnd Play(const CrashDay &day)
 {
 	JobWorld world;
-	world.site.back_after = day.back_after;
+	world.site.restart_delay = day.restart_delay;
 	if (day.listed) {
 		world.TellEndedLives();
 	}
@@ -98,7 +98,7 @@
 	constexpr Millis CRASHED_AT(4100);
 	constexpr Millis BACK_AFTER(100);
 	JobWorld world;
-	world.site.back_after = BACK_AFTER;
+	world.site.restart_delay = BACK_AFTER;
 	const auto lose = [&world](uint32_t every) {
 		for (const BoxReport &it : world.site.Reports()) {
 			world.site.faults[it.box].lose_every = every;
@@ -131,7 +131,7 @@
 	for (const int64_t back : {20, 60, 150}) {
 		for (int64_t cut_after = 5; cut_after < 1500; cut_after += 65) {
 			JobWorld world;
-			world.site.back_after = Millis(back);
+			world.site.restart_delay = Millis(back);
 			for (int n = 0; n < 40; n++) {
 				world.Plan(Millis(3000 + n * 100), "calc", JobWorld::Chain(1), RUN_TIME);
 			}
@@ -157,7 +157,7 @@
 	for (const int64_t back : {20, 50, 100, 400}) {
 		for (const bool listed : {false, true}) {
 			JobWorld world;
-			world.site.back_after = Millis(back);
+			world.site.restart_delay = Millis(back);
 			if (listed) {
 				world.TellEndedLives();
 			}
@@ -185,8 +185,8 @@
 	constexpr Millis BACK(5000);
 	JobWorld world;
 	world.clock.RunUntil(Millis(3000));
-	world.site.wall_behind = BACK;
-	world.site.back_after = Millis(200);
+	world.site.wall_clock_lag = BACK;
+	world.site.restart_delay = Millis(200);
 	std::ranges::for_each(world.site.Reports(), [&world](const BoxReport &it) { world.site.Crash(it.box); });
 	const WorldJob &job = world.Plan(Millis(1500), "calc", JobWorld::Chain(4));
 	world.clock.RunUntil(Millis(9000));
--- a/tests/test_suspended.cpp
+++ b/tests/test_suspended.cpp
@@ -32,9 +32,10 @@
 		for (const auto &it : this->world.nodes) {
 			it->scheduler.counts_sleep = counts;
 			if (it.get() != owner) {
-				std::ranges::for_each(this->world.site.Reports(),
-									  [&it](const BoxReport &report) { it->orders.cut_off.insert(report.box); });
-				this->world.clock.After(CUT, [&it, box] { it->orders.cut_off = {box}; });
+				std::ranges::for_each(this->world.site.Reports(), [&it](const BoxReport &report) {
+					it->orders.unreachable_boxes.insert(report.box);
+				});
+				this->world.clock.After(CUT, [&it, box] { it->orders.unreachable_boxes = {box}; });
 			}
 		}
 		owner->log.faults.silent = true;
