--- a/src/bench/config_bench.cpp
+++ b/src/bench/config_bench.cpp
@@ -56,7 +56,7 @@
 			it->log.faults.down = fault == ConfigFault::CF_ZONE_CUT && it->zone == "zone-b" && i % 2 == 0;
 			it->log.faults.lose_answers = fault == ConfigFault::CF_ANSWERS_LOST ? 1 : 0;
 		}
-		KeeperNode &keeper = site.Any();
+		KeeperNode &keeper = site.AnyKeeper();
 		const Millis asked = site.clock.Now();
 		const auto outcome =
 				keeper.Publish({{CellKey{ServiceName("misting"), "weight"}, std::to_string(1 + i % TOKENS)}},
--- a/src/bench/proxy_bench.cpp
+++ b/src/bench/proxy_bench.cpp
@@ -130,7 +130,7 @@
 			: path(EntryIdentity{MemberName("entry"), ZoneName("z"), Incarnation(1)}, GateSettings{}, LeaseTimes{},
 				   KeyLimits{}, RequestSettings{}, this->credentials),
 			  lane(this->path, CallerLimits{}, CallerLimits{}, DialLimits{Millis(1000), Millis(4000), 600}),
-			  listener([this](qintptr socket) { this->lane.Take(socket, false); })
+			  listener([this](qintptr socket) { this->lane.AddConnection(socket, false); })
 	{
 		SimpleViewSpec spec;
 		spec.endpoints = ENDPOINTS;
--- a/src/entry/entry_server.cpp
+++ b/src/entry/entry_server.cpp
@@ -108,7 +108,7 @@
 
 void EntryServer::Take(qintptr descriptor, bool from_peer)
 {
-	this->lanes[this->next_lane++ % this->lanes.size()]->Take(descriptor, from_peer);
+	this->lanes[this->next_lane++ % this->lanes.size()]->AddConnection(descriptor, from_peer);
 }
 
 void EntryServer::TickGates()
--- a/src/entry/keeper_client.cpp
+++ b/src/entry/keeper_client.cpp
@@ -41,7 +41,7 @@
 
 void KeeperClient::Tick()
 {
-	if (this->client.Up() && this->heard + KEEPER_SILENCE < this->scheduler.Now()) {
+	if (this->client.IsConnected() && this->heard + KEEPER_SILENCE < this->scheduler.Now()) {
 		LogEvent(LogLevel::LL_WARNING, "keeper_silent", {});
 		this->heard = this->scheduler.Now();
 		this->client.TryNext();
@@ -53,7 +53,7 @@
 
 void KeeperClient::SayHello()
 {
-	if (!this->client.Up()) {
+	if (!this->client.IsConnected()) {
 		return;
 	}
 	EntryHelloT hello;
--- a/src/entry/keeper_client.h
+++ b/src/entry/keeper_client.h
@@ -35,7 +35,7 @@
 	void SayLeaving();
 
 	/** @return Whether a keeper is connected. */
-	[[nodiscard]] bool Connected() const { return this->client.Up(); }
+	[[nodiscard]] bool Connected() const { return this->client.IsConnected(); }
 
 	/** @return Bytes of frames sent and received. */
 	[[nodiscard]] uint64_t Bytes() const { return this->client.Bytes(); }
--- a/src/entry/lane.cpp
+++ b/src/entry/lane.cpp
@@ -72,7 +72,7 @@
 	this->thread.wait();
 }
 
-void Lane::Take(qintptr descriptor, bool from_peer)
+void Lane::AddConnection(qintptr descriptor, bool from_peer)
 {
 	this->parts->scheduler.Post([this, descriptor, from_peer] {
 		auto &links = this->parts->links;
--- a/src/entry/lane.h
+++ b/src/entry/lane.h
@@ -35,7 +35,7 @@
 	 * @param descriptor The socket.
 	 * @param from_peer Whether an entry has connected.
 	 */
-	void Take(qintptr descriptor, bool from_peer);
+	void AddConnection(qintptr descriptor, bool from_peer);
 
 	/** Closes connections that have nothing under way. */
 	void CloseIdle();
--- a/src/entry/peer_mail.cpp
+++ b/src/entry/peer_mail.cpp
@@ -23,7 +23,7 @@
 bool PeerMail::Send(const Peer &to, const glade::wire::MessageUnion &message)
 {
 	const auto it = this->lines.find(to.name);
-	if (it == this->lines.end() || !it->second.client->Up()) {
+	if (it == this->lines.end() || !it->second.client->IsConnected()) {
 		return false;
 	}
 	it->second.client->Send(message);
--- a/src/keeper/entry_desk.cpp
+++ b/src/keeper/entry_handler.cpp
@@ -1,5 +1,5 @@
-/** @file entry_desk.cpp The keeper's side of its entries. */
-#include "entry_desk.h"
+/** @file entry_handler.cpp The keeper's side of its entries. */
+#include "entry_handler.h"
 
 #include "view_func.h"
 
--- a/src/keeper/entry_desk.h
+++ b/src/keeper/entry_handler.h
@@ -1,6 +1,6 @@
-/** @file entry_desk.h The keeper's side of its entries: membership, leases, views, drains, lapses. */
-#ifndef ENTRY_DESK_H
-#define ENTRY_DESK_H
+/** @file entry_handler.h The keeper's side of its entries: membership, leases, views, drains, lapses. */
+#ifndef ENTRY_HANDLER_H
+#define ENTRY_HANDLER_H
 
 #include "../generated/wire_generated.h"
 #include "keeper_core.h"
@@ -107,4 +107,4 @@
 	[[nodiscard]] bool IsMember(const MemberName &name, Incarnation incarnation) const;
 };
 
-#endif /* ENTRY_DESK_H */
+#endif /* ENTRY_HANDLER_H */
--- a/src/keeper/keeper_dump.h
+++ b/src/keeper/keeper_dump.h
@@ -3,7 +3,7 @@
 #define KEEPER_DUMP_H
 
 #include "keeper_core.h"
-#include "operator_desk.h"
+#include "operator_handler.h"
 
 #include <QJsonObject>
 
--- a/src/keeper/keeper_server.cpp
+++ b/src/keeper/keeper_server.cpp
@@ -235,7 +235,7 @@
 void KeeperServer::FetchJobEnds()
 {
 	const auto again = [this] { this->scheduler.After(this->core.times.plan_tick, [this] { this->FetchJobEnds(); }); };
-	if (!this->planner.Holds()) {
+	if (!this->planner.HoldsTerm()) {
 		again();
 		return;
 	}
@@ -253,7 +253,7 @@
 	if (this->SelfIsMember()) {
 		this->planner.Tick();
 	}
-	if (this->planner.Holds() != this->held) {
+	if (this->planner.HoldsTerm() != this->held) {
 		this->held = !this->held;
 		LogEvent(LogLevel::LL_INFO, !this->held ? "term_lost" : "term_taken",
 				 {{"region", this->core.self.region.Value()}});
@@ -265,7 +265,7 @@
 {
 	if (this->tail.CaughtUp() && this->SelfIsMember()) {
 		this->entries.ReportSilentMembers();
-		this->snapshots.Tick(this->planner.Holds());
+		this->snapshots.Tick(this->planner.HoldsTerm());
 	}
 	this->AskPeersForState();
 	this->scheduler.After(SECOND_TICK, [this] { this->SecondTick(); });
@@ -292,7 +292,7 @@
 	for (const auto &peer : this->peers) {
 		counters.view_bytes += peer->Bytes();
 	}
-	QJsonObject dump = DumpKeeper(this->core, counters, this->entries.Connected(), this->planner.Holds());
+	QJsonObject dump = DumpKeeper(this->core, counters, this->entries.Connected(), this->planner.HoldsTerm());
 	dump["platform_bytes"] = static_cast<qint64>(this->platform.Bytes());
 	dump["lease_fresh"] = this->entries.Fresh();
 	return dump;
--- a/src/keeper/keeper_server.h
+++ b/src/keeper/keeper_server.h
@@ -6,10 +6,10 @@
 #include "../net/platform_client.h"
 #include "../net/qt_scheduler.h"
 #include "../program/program.h"
-#include "entry_desk.h"
-#include "operator_desk.h"
-#include "plan_desk.h"
-#include "snapshot_desk.h"
+#include "entry_handler.h"
+#include "operator_handler.h"
+#include "region_planner.h"
+#include "snapshot_writer.h"
 
 /** The keeper process. */
 class KeeperServer : public Server {
--- a/src/keeper/operator_desk.cpp
+++ b/src/keeper/operator_handler.cpp
@@ -1,5 +1,5 @@
-/** @file operator_desk.cpp Operators' requests to a keeper. */
-#include "operator_desk.h"
+/** @file operator_handler.cpp Operators' requests to a keeper. */
+#include "operator_handler.h"
 
 #include "../fleet/table_func.h"
 
--- a/src/keeper/operator_desk.h
+++ b/src/keeper/operator_handler.h
@@ -1,6 +1,7 @@
-/** @file operator_desk.h Operators' requests to a keeper: publish, change, ask for outcomes, read table and state. */
-#ifndef OPERATOR_DESK_H
-#define OPERATOR_DESK_H
+/** @file operator_handler.h Operators' requests to a keeper: publish, change, ask for outcomes, read table and state.
+ */
+#ifndef OPERATOR_HANDLER_H
+#define OPERATOR_HANDLER_H
 
 #include "keeper_core.h"
 
@@ -57,4 +58,4 @@
 	void Propose(Proposal proposal, const Reply &reply);
 };
 
-#endif /* OPERATOR_DESK_H */
+#endif /* OPERATOR_HANDLER_H */
--- a/src/keeper/plan_desk.cpp
+++ b/src/keeper/region_planner.cpp
@@ -1,5 +1,5 @@
-/** @file plan_desk.cpp The keeper as planner. */
-#include "plan_desk.h"
+/** @file region_planner.cpp The keeper as planner. */
+#include "region_planner.h"
 
 #include "../request/route_func.h"
 
@@ -26,7 +26,7 @@
 {
 }
 
-bool RegionPlanner::Holds() const
+bool RegionPlanner::HoldsTerm() const
 {
 	/* A term that an earlier start of this process took is not ours: it is taken anew. */
 	const auto seat = this->core.State().planners.find(this->core.self.region);
@@ -63,7 +63,7 @@
 		return;
 	}
 	this->ReportDrains();
-	if (this->Holds()) {
+	if (this->HoldsTerm()) {
 		this->Beat();
 		this->Plan();
 		return;
@@ -201,7 +201,7 @@
 
 void RegionPlanner::OnJobEnds(const std::vector<JobEnd> &ends)
 {
-	if (!this->Holds()) {
+	if (!this->HoldsTerm()) {
 		return;
 	}
 	for (const JobEnd &end : ends) {
--- a/src/keeper/plan_desk.h
+++ b/src/keeper/region_planner.h
@@ -1,8 +1,8 @@
-/** @file plan_desk.h The keeper as planner: takes terms, plans boxes and jobs, orders reboots and jobs. */
-#ifndef PLAN_DESK_H
-#define PLAN_DESK_H
+/** @file region_planner.h The keeper as planner: takes terms, plans boxes and jobs, orders reboots and jobs. */
+#ifndef REGION_PLANNER_H
+#define REGION_PLANNER_H
 
-#include "entry_desk.h"
+#include "entry_handler.h"
 #include "keeper_core.h"
 
 #include "../planner/planner_func.h"
@@ -33,7 +33,7 @@
 	void OnDecisions(const std::vector<Decision> &decisions);
 
 	/** @return Whether this keeper holds the term. */
-	[[nodiscard]] bool Holds() const;
+	[[nodiscard]] bool HoldsTerm() const;
 
 	/**
 	 * Records ended attempts that the platform tells of.
@@ -65,4 +65,4 @@
 	[[nodiscard]] Millis Patience() const;
 };
 
-#endif /* PLAN_DESK_H */
+#endif /* REGION_PLANNER_H */
--- a/src/keeper/snapshot_desk.cpp
+++ b/src/keeper/snapshot_writer.cpp
@@ -1,5 +1,5 @@
-/** @file snapshot_desk.cpp Snapshots in the log. */
-#include "snapshot_desk.h"
+/** @file snapshot_writer.cpp Snapshots in the log. */
+#include "snapshot_writer.h"
 
 #include "../fleet/snapshot_func.h"
 
--- a/src/keeper/snapshot_desk.h
+++ b/src/keeper/snapshot_writer.h
@@ -1,6 +1,6 @@
-/** @file snapshot_desk.h Snapshots in the log, well before its retention; states for peers when the log is down. */
-#ifndef SNAPSHOT_DESK_H
-#define SNAPSHOT_DESK_H
+/** @file snapshot_writer.h Snapshots in the log, well before its retention; states for peers when the log is down. */
+#ifndef SNAPSHOT_WRITER_H
+#define SNAPSHOT_WRITER_H
 
 #include "keeper_core.h"
 
@@ -24,4 +24,4 @@
 	void Write();
 };
 
-#endif /* SNAPSHOT_DESK_H */
+#endif /* SNAPSHOT_WRITER_H */
--- a/src/net/caller_link.cpp
+++ b/src/net/caller_link.cpp
@@ -52,7 +52,7 @@
 {
 	/* The wait runs from the first byte of a head, or of a body; more bytes do not stretch it. */
 	const bool for_body = this->reader.HeadDone();
-	if (this->timer != TimerId() && this->timer_for_body == for_body && this->reader.Partial()) {
+	if (this->timer != TimerId() && this->timer_for_body == for_body && this->reader.HasPartialRequest()) {
 		return;
 	}
 	this->scheduler.Cancel(this->timer);
@@ -60,7 +60,7 @@
 	Millis wait = this->limits.idle_wait;
 	if (for_body) {
 		wait = this->limits.body_wait;
-	} else if (this->reader.Partial()) {
+	} else if (this->reader.HasPartialRequest()) {
 		wait = this->limits.head_wait;
 	}
 	this->timer = this->scheduler.After(wait, [this] { this->OnWait(); });
@@ -72,7 +72,7 @@
 	if (this->busy) {
 		return;
 	}
-	if (!this->reader.Partial()) {
+	if (!this->reader.HasPartialRequest()) {
 		this->socket.disconnectFromHost();
 		return;
 	}
@@ -84,7 +84,7 @@
 	if (this->busy || this->closing) {
 		return; /* What a caller sends ahead stays in the socket's buffer until its turn. */
 	}
-	const bool was_idle = !this->reader.Partial();
+	const bool was_idle = !this->reader.HasPartialRequest();
 	const QByteArray data = this->socket.readAll();
 	this->reader.Append(std::string_view(data.constData(), static_cast<size_t>(data.size())));
 	if (was_idle) {
@@ -158,7 +158,7 @@
 	if (head.length || this->head_request) {
 		this->framing = BodyFraming::BF_LENGTH;
 	} else {
-		this->framing = this->reader.Chunks() ? BodyFraming::BF_CHUNKS : BodyFraming::BF_CLOSE;
+		this->framing = this->reader.AcceptsChunked() ? BodyFraming::BF_CHUNKS : BodyFraming::BF_CLOSE;
 	}
 	this->closing = this->closing || this->framing == BodyFraming::BF_CLOSE;
 	this->Write(WriteResponseHead(head, this->framing, !this->closing));
@@ -218,7 +218,7 @@
 
 void CallerLink::CloseIfIdle()
 {
-	if (!this->busy && !this->reader.Partial()) {
+	if (!this->busy && !this->reader.HasPartialRequest()) {
 		this->closing = true;
 		this->socket.disconnectFromHost();
 	}
--- a/src/net/frame_link.cpp
+++ b/src/net/frame_link.cpp
@@ -45,7 +45,7 @@
 	Discard(this->socket);
 }
 
-bool FrameLink::Up() const
+bool FrameLink::IsConnected() const
 {
 	return this->socket->state() == QAbstractSocket::ConnectedState;
 }
@@ -57,7 +57,7 @@
 
 void FrameLink::Send(const MessageUnion &message)
 {
-	if (!this->Up()) {
+	if (!this->IsConnected()) {
 		return;
 	}
 	flatbuffers::FlatBufferBuilder builder;
--- a/src/net/frame_link.h
+++ b/src/net/frame_link.h
@@ -52,7 +52,7 @@
 	void Send(const MessageUnion &message);
 
 	/** @return Whether the connection stands. */
-	[[nodiscard]] bool Up() const;
+	[[nodiscard]] bool IsConnected() const;
 
 	/** @return Bytes waiting to be taken by the other side. */
 	[[nodiscard]] int64_t Pending() const;
@@ -136,7 +136,7 @@
 	void TryNext();
 
 	/** @return Whether the connection stands. */
-	[[nodiscard]] bool Up() const { return this->link && this->link->Up(); }
+	[[nodiscard]] bool IsConnected() const { return this->link && this->link->Up(); }
 
 	/** @return Bytes sent and received. */
 	[[nodiscard]] uint64_t Bytes() const;
--- a/src/net/http_codec.cpp
+++ b/src/net/http_codec.cpp
@@ -89,7 +89,7 @@
 	this->continued = false;
 }
 
-bool RequestReader::Partial() const
+bool RequestReader::HasPartialRequest() const
 {
 	return this->started || !this->buf.empty();
 }
--- a/src/net/http_codec.h
+++ b/src/net/http_codec.h
@@ -46,10 +46,10 @@
 	[[nodiscard]] bool KeepAlive() const { return this->keep_alive; }
 
 	/** @return Whether the request taken last was HTTP/1.1: its caller understands chunks. */
-	[[nodiscard]] bool Chunks() const { return this->chunks; }
+	[[nodiscard]] bool AcceptsChunked() const { return this->chunks; }
 
 	/** @return Whether bytes of a request are there, but not all of them. */
-	[[nodiscard]] bool Partial() const;
+	[[nodiscard]] bool HasPartialRequest() const;
 
 	/** @return Whether the head of the current request is whole. */
 	[[nodiscard]] bool HeadDone() const;
--- a/src/node/config_peers.cpp
+++ b/src/node/config_peers.cpp
@@ -54,7 +54,7 @@
 							.emplace(number, PendingRequest{address, question, std::move(done),
 															this->scheduler.Now() + ANSWER_TIMEOUT})
 							.first;
-	if (this->ClientFor(address).Up()) {
+	if (this->ClientFor(address).IsConnected()) {
 		this->Send(number, it->second);
 	}
 }
--- a/src/node/owner_lookup.cpp
+++ b/src/node/owner_lookup.cpp
@@ -196,7 +196,7 @@
 	if (owner.address.empty() || this->scheduler.Now() - owner.read_at > OWNER_AGE_MAX) {
 		this->RefreshOwner(shard);
 	}
-	return !owner.address.empty() && this->PeerOf(owner.address).client->Up();
+	return !owner.address.empty() && this->PeerOf(owner.address).client->IsConnected();
 }
 
 OwnerLookup::Peer &OwnerLookup::PeerOf(const std::string &address)
@@ -231,7 +231,7 @@
 {
 	/* An unreachable node gets no longer timeout: it is not slow, and another node may own the shard soon. */
 	const Peer &peer = this->PeerOf(address);
-	return peer.client->Up() ? peer.answer_timeout : ANSWER_TIMEOUT_MIN;
+	return peer.client->IsConnected() ? peer.answer_timeout : ANSWER_TIMEOUT_MIN;
 }
 
 void OwnerLookup::UpdateAnswerTimeout(const PendingRequest &request)
@@ -249,7 +249,7 @@
 	it.asked_node = this->owners.at(it.shard).address;
 	FrameClient &client = *this->PeerOf(it.asked_node).client;
 	it.sent_at = this->scheduler.Now();
-	if (client.Up()) {
+	if (client.IsConnected()) {
 		client.Send(it.make(number));
 		/* The previous request may still be executed, whatever the answer to this one is. */
 		it.earlier_unanswered = it.earlier_unanswered || it.sent;
--- a/src/standin/memory/box_site.cpp
+++ b/src/standin/memory/box_site.cpp
@@ -186,7 +186,7 @@
 
 void BoxSite::JudgeCrasher(const SiteJob &job, const TaskId &task)
 {
-	const bool crasher = task.step == 0 && job.crashers.contains(task.index);
+	const bool crasher = task.step == 0 && job.crashing_tasks.contains(task.index);
 	if (crasher && this->crashed_under[task] >= CRASHES_MAX && ++this->beyond_crashes[task] == BEYOND_MAX) {
 		this->Violation("started three times more after three boxes had crashed under it", task);
 	}
@@ -265,7 +265,7 @@
 	const Resources demand = job == this->jobs.end() ? Resources{} : job->second.spec.steps.at(order.task.step).demand;
 	Resources free = box->report.capacity;
 	std::ranges::for_each(box->running | std::views::values, [&free](const Run &it) { free -= it.room; });
-	if (this->guarded && !free.Holds(demand)) {
+	if (this->checks_capacity && !free.Holds(demand)) {
 		return this->Plain(box, OrderOutcome::OO_NO_ROOM);
 	}
 	if (this->ticket_valid && !this->ticket_valid(report, order)) {
@@ -283,7 +283,7 @@
 			this->End(name, task, fails ? RunEnding::RE_FAILED : RunEnding::RE_DONE);
 		});
 	}
-	if (job != this->jobs.end() && order.task.step == 0 && job->second.crashers.contains(order.task.index)) {
+	if (job != this->jobs.end() && order.task.step == 0 && job->second.crashing_tasks.contains(order.task.index)) {
 		this->clock.Cancel(run.timer);
 		run.timer = this->clock.After(job->second.crash_after, [this, name = report.box] { this->Crash(name); });
 	}
@@ -390,7 +390,7 @@
 bool SiteOrders::Reaches(const BoxReport &box) const
 {
 	const auto faults = this->site.faults.find(box.box);
-	const bool dark = faults != this->site.faults.end() && faults->second.dark;
+	const bool dark = faults != this->site.faults.end() && faults->second.unreachable;
 	return !dark && !this->site.Down(box.box) && !this->unreachable_boxes.contains(box.box);
 }
 
@@ -399,7 +399,7 @@
 	const BoxFaults faults = this->site.faults[box.box];
 	const auto unknown = [done] { done(OrderAnswer{}); };
 	this->orders++;
-	if (faults.deaf || !this->Reaches(box)) {
+	if (faults.drop_starts_and_stops || !this->Reaches(box)) {
 		this->scheduler.After(PATIENCE, [done] { done(OrderAnswer{}); });
 		return;
 	}
--- a/src/standin/memory/box_site.h
+++ b/src/standin/memory/box_site.h
@@ -18,17 +18,17 @@
 	uint32_t failures_max = 3;          ///< Runs of a task that may fail.
 	bool cancel_sent = false;           ///< Whether its cancellation was sent: no limit on absent tasks holds then.
 	std::optional<Millis> cancelled_at; ///< When its cancellation was confirmed.
-	std::set<uint32_t> crashers;        ///< Tasks of its first step that crash each box that starts them.
+	std::set<uint32_t> crashing_tasks;  ///< Tasks of its first step that crash each box that starts them.
 	Millis crash_after = Millis(10);    ///< Time from the start of such a task to the crash.
 };
 
 /** Faults of the way from the nodes to one box. */
 struct BoxFaults {
-	bool dark = false;             ///< Nothing gets through; what runs goes on.
-	uint32_t lose_every = 0;       ///< Every n-th order is done without an answer; 0 for none.
-	bool late = false;             ///< Those are done seconds later.
-	bool deaf = false;             ///< Starts and stops get lost on their way; lease orders are answered.
-	uint32_t lose_lease_every = 0; ///< Every n-th lease order is done without an answer; 0 for none.
+	bool unreachable = false;           ///< Nothing gets through; what runs goes on.
+	uint32_t lose_every = 0;            ///< Every n-th order is done without an answer; 0 for none.
+	bool late = false;                  ///< Those are done seconds later.
+	bool drop_starts_and_stops = false; ///< Starts and stops get lost on their way; lease orders are answered.
+	uint32_t lose_lease_every = 0;      ///< Every n-th lease order is done without an answer; 0 for none.
 };
 
 /** All boxes. Violations of the rules are collected as they happen. */
@@ -89,7 +89,8 @@
 	Millis restart_delay = Millis(3000);                                     ///< A crashed box is back after this.
 	bool keeps_id = true;                                                    ///< Whether boxes keep their ids.
 	Millis wall_clock_lag; ///< Wall clocks of boxes that start are behind by so much.
-	bool guarded = true;   ///< Whether boxes refuse what doesn't fit; otherwise they start all that they are told.
+	bool checks_capacity =
+			true; ///< Whether boxes refuse what doesn't fit; otherwise they start all that they are told.
 
 private:
 	/** A run. */
--- a/src/standin/memory/fleet_site.cpp
+++ b/src/standin/memory/fleet_site.cpp
@@ -142,7 +142,7 @@
 	}
 	if (member) {
 		this->planner.Tick();
-		if (this->planner.Holds() && !this->log.faults.down) {
+		if (this->planner.HoldsTerm() && !this->log.faults.down) {
 			this->site.platform.FetchJobEnds(
 					[this](ResultCode, const std::vector<JobEnd> &ends) { this->planner.OnJobEnds(ends); });
 		}
@@ -154,7 +154,7 @@
 {
 	if (this->tail.CaughtUp()) {
 		this->entries.ReportSilentMembers();
-		this->snapshots.Tick(this->planner.Holds());
+		this->snapshots.Tick(this->planner.HoldsTerm());
 	}
 	glade::wire::KeeperBeatT beat;
 	beat.member = this->name;
@@ -333,7 +333,7 @@
 	return holds();
 }
 
-KeeperNode &FleetSite::Any()
+KeeperNode &FleetSite::AnyKeeper()
 {
 	const auto it = std::ranges::find_if(this->keepers, [](const auto &keeper) {
 		return *keeper->scheduler.alive && !keeper->log.faults.down && keeper->tail.Phase() == TailPhase::TP_FOLLOWING;
@@ -344,28 +344,28 @@
 KeeperNode &FleetSite::Planner()
 {
 	const auto it = std::ranges::find_if(
-			this->keepers, [](const auto &keeper) { return *keeper->scheduler.alive && keeper->planner.Holds(); });
-	return it == this->keepers.end() ? this->Any() : **it;
+			this->keepers, [](const auto &keeper) { return *keeper->scheduler.alive && keeper->planner.HoldsTerm(); });
+	return it == this->keepers.end() ? this->AnyKeeper() : **it;
 }
 
 void FleetSite::SetUp()
 {
 	this->Run(Millis(500));
-	this->Any().Publish({{CellKey{ServiceName("misting"), "pool"}, "control"},
-						 {CellKey{ServiceName("misting"), "floor"}, "16"},
-						 {CellKey{ServiceName("misting"), "guard"}, "rack"},
-						 {CellKey{ServiceName("misting"), "class"}, "urgent"},
-						 {CellKey{ServiceName("analytics"), "pool"}, "batch"},
-						 {CellKey{ServiceName("analytics"), "floor"}, "8"},
-						 {CellKey{ServiceName("analytics"), "guard"}, "box"}},
-						0);
+	this->AnyKeeper().Publish({{CellKey{ServiceName("misting"), "pool"}, "control"},
+							   {CellKey{ServiceName("misting"), "floor"}, "16"},
+							   {CellKey{ServiceName("misting"), "guard"}, "rack"},
+							   {CellKey{ServiceName("misting"), "class"}, "urgent"},
+							   {CellKey{ServiceName("analytics"), "pool"}, "batch"},
+							   {CellKey{ServiceName("analytics"), "floor"}, "8"},
+							   {CellKey{ServiceName("analytics"), "guard"}, "box"}},
+							  0);
 	glade::wire::TeamQuotaT quota;
 	quota.team = "oyo";
 	quota.units = 40;
-	this->Any().Propose(std::move(quota));
+	this->AnyKeeper().Propose(std::move(quota));
 	this->RunUntil(
 			[this] {
-				const auto &boxes = this->Any().core.State().boxes;
+				const auto &boxes = this->AnyKeeper().core.State().boxes;
 				return boxes.size() == this->platform.boxes.size() &&
 					   std::ranges::all_of(boxes, [](const auto &it) { return it.second.health == BoxHealth::BH_UP; });
 			},
--- a/src/standin/memory/fleet_site.h
+++ b/src/standin/memory/fleet_site.h
@@ -5,10 +5,10 @@
 #include "node_scheduler.h"
 
 #include "../../fleet/table_func.h"
-#include "../../keeper/entry_desk.h"
-#include "../../keeper/operator_desk.h"
-#include "../../keeper/plan_desk.h"
-#include "../../keeper/snapshot_desk.h"
+#include "../../keeper/entry_handler.h"
+#include "../../keeper/operator_handler.h"
+#include "../../keeper/region_planner.h"
+#include "../../keeper/snapshot_writer.h"
 #include "../../log/memory_log.h"
 #include "../../request/route_table.h"
 
@@ -129,7 +129,7 @@
 	KeeperNode &Planner();
 
 	/** @return Any keeper that lives and follows. */
-	KeeperNode &Any();
+	KeeperNode &AnyKeeper();
 
 	/** Publishes the first table and waits until all boxes serve. */
 	void SetUp();
--- a/src/standin/memory/keyed_store.h
+++ b/src/standin/memory/keyed_store.h
@@ -81,13 +81,13 @@
 
 /** Faults of one node's way to the log. Change them at any time. */
 struct StoreFaults {
-	bool silent = false;        ///< Calls get no answer, nothing is done.
-	std::set<PartitionId> mute; ///< The same for calls to these partitions alone.
-	bool refusing = false;      ///< Appends and joins are refused, reads fail: nothing is done.
-	uint32_t lose_every = 0;    ///< Every n-th append is done but not answered; 0 for none.
-	bool late = false;          ///< Those are done seconds later instead of at once.
-	bool join_lost = false;     ///< Joins get no answer and have no effect.
-	Millis latency = Millis(4); ///< One way.
+	bool silent = false;                     ///< Calls get no answer, nothing is done.
+	std::set<PartitionId> silent_partitions; ///< The same for calls to these partitions alone.
+	bool refusing = false;                   ///< Appends and joins are refused, reads fail: nothing is done.
+	uint32_t lose_every = 0;                 ///< Every n-th append is done but not answered; 0 for none.
+	bool late = false;                       ///< Those are done seconds later instead of at once.
+	bool join_lost = false;                  ///< Joins get no answer and have no effect.
+	Millis latency = Millis(4);              ///< One way.
 };
 
 /** A node's client. */
@@ -123,7 +123,7 @@
 	/** @return Whether calls get no answer. @param partition Where they go; none for calls about groups. */
 	[[nodiscard]] bool Silent(const std::optional<PartitionId> &partition) const
 	{
-		return this->faults.silent || (partition && this->faults.mute.contains(*partition));
+		return this->faults.silent || (partition && this->faults.silent_partitions.contains(*partition));
 	}
 	/** Makes a call: `work` runs at the log, its answer comes back; `failed` is told when the way is broken. */
 	template <class Answer>
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -78,7 +78,7 @@
 			job->expected = "failed";
 		}
 		if (this->jobs.size() % CRASHING_OF == CRASHING_OF - 1) {
-			known.crashers = {0};
+			known.crashing_tasks = {0};
 			job->expected = "failed";
 		}
 	}
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -60,7 +60,7 @@
 	if (!this->store.Start() || !this->boxes.Start()) {
 		return false;
 	}
-	this->boxes.site.guarded = false;
+	this->boxes.site.checks_capacity = false;
 	this->boxes.site.restart_delay = BACK_AFTER;
 	this->boxes.on_restart = [this] { this->PublishReports(); };
 	this->AddBoxes();
--- a/tests/test_cancel_unseen.cpp
+++ b/tests/test_cancel_unseen.cpp
@@ -79,7 +79,7 @@
 		it->scheduler.paused_until = it.get() == owner ? Millis(0) : Millis(9000);
 	}
 	world.clock.RunUntil(Millis(6000));
-	owner->log.faults.mute = {PartitionId{TopicOf(CALC), INBOX_PARTITION}};
+	owner->log.faults.silent_partitions = {PartitionId{TopicOf(CALC), INBOX_PARTITION}};
 	owner->log.faults.silent = false;
 	world.clock.RunUntil(Millis(9000));
 	CHECK(world.ViewOf(job).phase == JobPhase::JP_COMPLETED);
--- a/tests/test_crashing_tasks.cpp
+++ b/tests/test_crashing_tasks.cpp
@@ -29,7 +29,7 @@
 	{
 		for (int n = 0; n < crashers; n++) {
 			WorldJob &job = this->world.Plan(Millis(2000 + n * 50), "calc", JobWorld::Chain(1));
-			this->world.site.JobOf(job.spec.id).crashers = {0};
+			this->world.site.JobOf(job.spec.id).crashing_tasks = {0};
 			this->crashing.push_back(&job);
 		}
 		for (int n = 0; n < ORDINARY; n++) {
@@ -162,9 +162,9 @@
 {
 	JobWorld world;
 	WorldJob &partly = world.Plan(Millis(1000), "calc", JobWorld::Lasting(2));
-	world.site.JobOf(partly.spec.id).crashers = {1};
+	world.site.JobOf(partly.spec.id).crashing_tasks = {1};
 	WorldJob &crashing = world.Plan(Millis(1000), "grid", JobWorld::Lasting(1));
-	world.site.JobOf(crashing.spec.id).crashers = {0};
+	world.site.JobOf(crashing.spec.id).crashing_tasks = {0};
 	world.clock.RunUntil(Millis(25000));
 	const uint64_t starts = world.site.starts;
 	world.clock.RunUntil(WHOLE);
@@ -237,7 +237,7 @@
 	steps.front().gang = true;
 	steps.front().per_box = 1;
 	WorldJob &job = world.Plan(Millis(1000), "calc", steps);
-	world.site.JobOf(job.spec.id).crashers = {2};
+	world.site.JobOf(job.spec.id).crashing_tasks = {2};
 	world.clock.RunUntil(Millis(5000));
 	WorldNode *owner = world.OwnerOf(CALC);
 	REQUIRE(owner != nullptr);
@@ -383,7 +383,7 @@
 		day.ordinary.push_back(&day.world.Plan(Millis(1000), "calc", JobWorld::Chain(4), Millis(1000)));
 	}
 	WorldJob &second = day.world.Plan(SECOND_AT, "calc", JobWorld::Chain(1));
-	day.world.site.JobOf(second.spec.id).crashers = {0};
+	day.world.site.JobOf(second.spec.id).crashing_tasks = {0};
 	day.world.TellEndedLives();
 	day.world.clock.RunUntil(SECOND_AT);
 	const auto lost = [&day] {
--- a/tests/test_deadly_share.cpp
+++ b/tests/test_deadly_share.cpp
@@ -35,7 +35,7 @@
 			WorldJob &job = this->world.Plan(FROM + Millis(n * SPAN.Value() / JOBS), "calc", {step}, RUN_TIME);
 			const bool deadly = each > 0 && n % each == each / 2;
 			if (deadly) {
-				this->world.site.JobOf(job.spec.id).crashers = {0};
+				this->world.site.JobOf(job.spec.id).crashing_tasks = {0};
 			}
 			(deadly ? this->guilty : this->innocent).push_back(&job);
 		}
--- a/tests/test_fleet_matrix.cpp
+++ b/tests/test_fleet_matrix.cpp
@@ -74,7 +74,7 @@
 
 	bool AnyBoxIn(BoxState state)
 	{
-		const auto &boxes = this->site.Any().core.State().boxes;
+		const auto &boxes = this->site.AnyKeeper().core.State().boxes;
 		return std::ranges::any_of(boxes, [&](const auto &it) { return it.second.state == state; });
 	}
 
@@ -88,7 +88,7 @@
 			job.units = 2;
 			job.repeatable = i % 2 == 0;
 			const std::string name = job.job;
-			this->jobs[name] = this->site.Any().Propose(std::move(job));
+			this->jobs[name] = this->site.AnyKeeper().Propose(std::move(job));
 		}
 	}
 
@@ -134,7 +134,7 @@
 
 	void Publish(const std::string &floor)
 	{
-		KeeperNode &keeper = this->site.Any();
+		KeeperNode &keeper = this->site.AnyKeeper();
 		this->published = keeper.Publish({{CellKey{ServiceName("misting"), "floor"}, floor}},
 										 keeper.core.State().table_version.Value());
 	}
@@ -169,7 +169,7 @@
 			this->site.Planner().scheduler.paused_until = this->site.clock.Now() + Millis(10000);
 			break;
 		case SiteFault::SF_KEEPER_REPLACED: {
-			KeeperNode &old = this->site.Any();
+			KeeperNode &old = this->site.AnyKeeper();
 			this->site.Kill(old);
 			this->site.Run(Millis(10));
 			this->site.AddKeeper(old.name, old.zone);
@@ -206,7 +206,7 @@
 			for (const auto &[name, outcome] : this->jobs) {
 				cancel.jobs.push_back(name);
 			}
-			this->site.Any().Propose(std::move(cancel));
+			this->site.AnyKeeper().Propose(std::move(cancel));
 		}
 	}
 
@@ -215,7 +215,7 @@
 	{
 		this->site.RunUntil(
 				[this] {
-					const FleetState &fleet = this->site.Any().core.State();
+					const FleetState &fleet = this->site.AnyKeeper().core.State();
 					const bool maintained = std::ranges::all_of(fleet.boxes, [](const auto &it) {
 						return it.second.last_maintained != Millis(0) && it.second.state == BoxState::BS_SERVING;
 					});
@@ -233,7 +233,7 @@
 			FAIL_CHECK(it);
 		}
 		CHECK(this->site.StatesAgree());
-		const FleetState &fleet = this->site.Any().core.State();
+		const FleetState &fleet = this->site.AnyKeeper().core.State();
 		CHECK(fleet.Hash() == fleet.RecomputeHash());
 		for (const auto &it : fleet.boxes) {
 			const Box &box = it.second;
--- a/tests/test_fleet_owner.cpp
+++ b/tests/test_fleet_owner.cpp
@@ -272,7 +272,7 @@
 	FleetWorld world;
 	auto first = world.Make("a", {});
 	world.clock.RunUntil(Millis(1000));
-	world.log.faults.mute = {PartitionId{"keyed.fleet", 0}};
+	world.log.faults.silent_partitions = {PartitionId{"keyed.fleet", 0}};
 	WaveOrder wave;
 	wave.number = 2;
 	wave.boxes = {BoxName("m0")};
@@ -288,7 +288,7 @@
 	/* The next holder reads of it in the spare partition, and leaves the box alone. */
 	first.reset();
 	const Millis last = world.machines.orders.back().at;
-	world.log.faults.mute = {};
+	world.log.faults.silent_partitions = {};
 	const auto second = world.Make("b", {});
 	second->OnWave(wave);
 	world.clock.RunUntil(Millis(9000));
--- a/tests/test_group.cpp
+++ b/tests/test_group.cpp
@@ -139,7 +139,7 @@
 	const BoxReport holding = HoldingBox(*first);
 	const BoxName dark = holding.box;
 	world.unlisted.insert(dark);
-	world.site.faults[dark].dark = true;
+	world.site.faults[dark].unreachable = true;
 	JobWorld::Kill(*first);
 	/* Owners that let go tell how long those before them may still prolong leases. */
 	for (const int64_t at : {8000, 11000, 14000}) {
--- a/tests/test_http_codec.cpp
+++ b/tests/test_http_codec.cpp
@@ -100,8 +100,8 @@
 	REQUIRE(reader.Parse() == ParseProgress::PR_READY);
 	CHECK(reader.Take().target == "/b");
 	CHECK_FALSE(reader.KeepAlive());
-	CHECK_FALSE(reader.Chunks());
-	CHECK_FALSE(reader.Partial());
+	CHECK_FALSE(reader.AcceptsChunked());
+	CHECK_FALSE(reader.HasPartialRequest());
 }
 
 TEST_CASE("requests that could be read in two ways are refused")
--- a/tests/test_job_matrix.cpp
+++ b/tests/test_job_matrix.cpp
@@ -36,9 +36,9 @@
 	EachNode(world, [part, mute](WorldNode &it) {
 		const PartitionId partition{"keyed.jobs.calc", part};
 		if (mute) {
-			it.log.faults.mute.insert(partition);
+			it.log.faults.silent_partitions.insert(partition);
 		} else {
-			it.log.faults.mute.erase(partition);
+			it.log.faults.silent_partitions.erase(partition);
 		}
 	});
 }
@@ -136,15 +136,16 @@
 		Fault{"partitions dealt anew", [](JobWorld &w) { w.store.ReassignPartitions(); },
 			  [](JobWorld &w) { w.store.ReassignPartitions(); }},
 		Fault{"history forgotten", [](JobWorld &w) { w.store.Compact(); }, [](JobWorld &w) { w.store.Compact(); }},
-		Fault{"box dark", [](JobWorld &w) { FirstBox(w).dark = true; }, [](JobWorld &w) { FirstBox(w).dark = false; }},
+		Fault{"box dark", [](JobWorld &w) { FirstBox(w).unreachable = true; },
+			  [](JobWorld &w) { FirstBox(w).unreachable = false; }},
 		Fault{"box dark, owner killed",
 			  [](JobWorld &w) {
-				  FirstBox(w).dark = true;
+				  FirstBox(w).unreachable = true;
 				  w.unlisted.insert(BoxName("calc-box0"));
 				  JobWorld::Kill(OwnerOrFirst(w));
 			  },
 			  [](JobWorld &w) {
-				  FirstBox(w).dark = false;
+				  FirstBox(w).unreachable = false;
 				  w.unlisted.clear();
 			  }},
 		Fault{"box restarts", [](JobWorld &w) { w.site.Restart(BoxName("calc-box0")); }, [](JobWorld &) {}},
@@ -182,8 +183,8 @@
 	if (job.spec.steps.front().lasting) {
 		return JobPhase::JP_RUNNING;
 	}
-	return known.fail_first >= known.failures_max || !known.crashers.empty() ? JobPhase::JP_FAILED
-																			 : JobPhase::JP_COMPLETED;
+	return known.fail_first >= known.failures_max || !known.crashing_tasks.empty() ? JobPhase::JP_FAILED
+																				   : JobPhase::JP_COMPLETED;
 }
 
 /** Plays a day with a fault at a moment, and checks what every job came to. @param fault The fault. @param at The
@@ -196,7 +197,7 @@
 	JobWorld world;
 	PlanDay(world);
 	if (crashing) {
-		world.site.JobOf(world.Plan(Millis(1700), "calc", JobWorld::Chain(1)).spec.id).crashers = {0};
+		world.site.JobOf(world.Plan(Millis(1700), "calc", JobWorld::Chain(1)).spec.id).crashing_tasks = {0};
 	}
 	world.clock.After(at, [&] { fault.begin(world); });
 	world.clock.After(at + FAULT_FOR, [&] { fault.end(world); });
@@ -270,14 +271,14 @@
 		}
 	}
 	REQUIRE(holding.size() == 3);
-	world.site.faults[holding[0]].dark = true;
+	world.site.faults[holding[0]].unreachable = true;
 	/* Longer than an answer may take, shorter than the lease: its task may run on or not. */
 	world.clock.RunUntil(Millis(6500));
 	const uint64_t stops = shard->Counters().stops;
 	shard->Drain({holding[1]}, {});
 	world.clock.RunUntil(Millis(7000));
 	CHECK(shard->Counters().stops == stops);
-	world.site.faults[holding[0]].dark = false;
+	world.site.faults[holding[0]].unreachable = false;
 	world.clock.RunUntil(Millis(9000));
 	shard->Drain({holding[1]}, {});
 	world.clock.RunUntil(Millis(9500));
--- a/tests/test_keeper.cpp
+++ b/tests/test_keeper.cpp
@@ -23,13 +23,13 @@
 	site.Run(Millis(20000));
 	EntryStub &entry = *site.entries.front();
 	CHECK(entry.routes.LeaseHolds(site.clock.Now()));
-	CHECK(site.Any().core.State().members.at(MemberName(entry.name)).witnesses.empty());
+	CHECK(site.AnyKeeper().core.State().members.at(MemberName(entry.name)).witnesses.empty());
 	site.Kill(*entry.keeper);
 	site.Run(Millis(3500));
 	CHECK(entry.routes.LeaseHolds(site.clock.Now()));
 	site.Run(Millis(30000));
 	CHECK(entry.routes.LeaseHolds(site.clock.Now()));
-	CHECK(site.Any().core.State().members.contains(MemberName(entry.name)));
+	CHECK(site.AnyKeeper().core.State().members.contains(MemberName(entry.name)));
 }
 
 TEST_CASE("keeper: an entry that was silent too long takes back what was witnessed against it, or joins anew")
@@ -42,10 +42,10 @@
 	site.Run(Millis(2500));
 	CHECK_FALSE(entry.routes.LeaseHolds(site.clock.Now()));
 	site.Run(Millis(15000));
-	CHECK_FALSE(site.Any().core.State().members.contains(MemberName(entry.name)));
+	CHECK_FALSE(site.AnyKeeper().core.State().members.contains(MemberName(entry.name)));
 	entry.cut = false;
 	site.Run(Millis(3000));
-	CHECK(site.Any().core.State().members.contains(MemberName(entry.name)));
+	CHECK(site.AnyKeeper().core.State().members.contains(MemberName(entry.name)));
 	CHECK(entry.routes.LeaseHolds(site.clock.Now()));
 }
 
@@ -76,7 +76,7 @@
 		it->log.faults.down = it->zone == "zone-b";
 	}
 	site.Run(Millis(30000));
-	const FleetState &fleet = site.Any().core.State();
+	const FleetState &fleet = site.AnyKeeper().core.State();
 	for (const auto &[name, box] : fleet.boxes) {
 		const bool untouched = box.state == BoxState::BS_SERVING || box.state == BoxState::BS_DRAINING;
 		CHECK((box.zone == ZoneName("zone-a") || untouched));
@@ -92,8 +92,8 @@
 	FleetSite site(12, limits);
 	site.SetUp();
 	for (int i = 0; i < 60; i++) {
-		site.Any().Publish({{CellKey{ServiceName("misting"), "weight"}, std::to_string(2 + i)}},
-						   site.Any().core.State().table_version.Value());
+		site.AnyKeeper().Publish({{CellKey{ServiceName("misting"), "weight"}, std::to_string(2 + i)}},
+								 site.AnyKeeper().core.State().table_version.Value());
 		site.Run(Millis(1000));
 	}
 	uint64_t snapshots = 0;
@@ -112,7 +112,7 @@
 {
 	FleetSite site;
 	site.SetUp();
-	const uint64_t base = site.Any().core.State().table_version.Value();
+	const uint64_t base = site.AnyKeeper().core.State().table_version.Value();
 	const auto one =
 			KeeperOf(site, "keeper-zone-a-1").Publish({{CellKey{ServiceName("misting"), "weight"}, "5"}}, base);
 	const auto two =
@@ -131,7 +131,7 @@
 {
 	FleetSite site;
 	site.SetUp();
-	KeeperNode &keeper = site.Any();
+	KeeperNode &keeper = site.AnyKeeper();
 	keeper.log.faults.lose_answers = 1000;
 	keeper.log.faults.delay = Millis(4000);
 	const auto slow = keeper.Publish({{CellKey{ServiceName("misting"), "weight"}, "5"}},
@@ -148,7 +148,7 @@
 									  [&](const glade::wire::MessageUnion &message) { told = *message.AsOutcome(); });
 		CHECK(told.code == 0);
 	}
-	CHECK(site.Any().core.State().cells.at(CellKey{ServiceName("misting"), "weight"}).value == "5");
+	CHECK(site.AnyKeeper().core.State().cells.at(CellKey{ServiceName("misting"), "weight"}).value == "5");
 }
 
 TEST_CASE("golden: a site from its first table through one round of maintenance")
@@ -157,7 +157,7 @@
 	site.SetUp();
 	site.RunUntil(
 			[&] {
-				return std::ranges::all_of(site.Any().core.State().boxes,
+				return std::ranges::all_of(site.AnyKeeper().core.State().boxes,
 										   [](const auto &it) { return it.second.last_maintained != Millis(0); });
 			},
 			Millis(120000));
--- a/tests/test_owner_work.cpp
+++ b/tests/test_owner_work.cpp
@@ -26,7 +26,7 @@
 	for (int n = 0; n < 4; n++) {
 		const std::string box = "calc-box" + std::to_string(n);
 		world.unlisted.insert(BoxName(box));
-		world.site.faults[BoxName(box)].dark = true;
+		world.site.faults[BoxName(box)].unreachable = true;
 		for (const auto &node : world.nodes) {
 			node->host.OnReportRemoved(BoxId(box + "-life0"));
 		}
@@ -37,7 +37,7 @@
 	CHECK(shard->Counters().looks == looks);
 	/* Boxes that come back are taken on again. */
 	for (int n = 0; n < 4; n++) {
-		world.site.faults[BoxName("calc-box" + std::to_string(n))].dark = false;
+		world.site.faults[BoxName("calc-box" + std::to_string(n))].unreachable = false;
 	}
 	world.unlisted.clear();
 	const WorldJob &job = world.Plan(Millis(1000), "calc", JobWorld::Chain(3));
--- a/tests/test_planned_stops.cpp
+++ b/tests/test_planned_stops.cpp
@@ -123,7 +123,7 @@
 	WorldNode *owner = world.OwnerOf(CALC);
 	REQUIRE(owner != nullptr);
 	for (int n = 0; n < 4; n++) {
-		world.site.faults[BoxName("calc-box" + std::to_string(n))].dark = true;
+		world.site.faults[BoxName("calc-box" + std::to_string(n))].unreachable = true;
 	}
 	const WorldJob &job = world.Plan(Millis(0), "calc", JobWorld::Chain(2));
 	world.clock.RunUntil(Millis(3300));
@@ -132,7 +132,7 @@
 	REQUIRE(shard->Counters().starts > 0);
 	CHECK(shard->Waiting(RouteName("r-calc")) == 1);
 	for (int n = 0; n < 4; n++) {
-		world.site.faults[BoxName("calc-box" + std::to_string(n))].dark = false;
+		world.site.faults[BoxName("calc-box" + std::to_string(n))].unreachable = false;
 	}
 	world.clock.RunUntil(Millis(5000));
 	CHECK(shard->Waiting(RouteName("r-calc")) == 0);
--- a/tests/test_room.cpp
+++ b/tests/test_room.cpp
@@ -22,7 +22,7 @@
 void SetDeaf(JobWorld &world, bool deaf)
 {
 	for (const BoxReport &it : world.site.Reports()) {
-		world.site.faults[it.box].deaf = deaf;
+		world.site.faults[it.box].drop_starts_and_stops = deaf;
 	}
 }
 
@@ -39,7 +39,7 @@
 TEST_CASE("a start that is repeated doesn't go beyond the room that its box has by then")
 {
 	JobWorld world;
-	world.site.guarded = false;
+	world.site.checks_capacity = false;
 	world.clock.RunUntil(Millis(3000));
 	/* Placed in the room of before; the orders get lost, and are repeated since too many of the step are away. */
 	SetDeaf(world, true);
@@ -62,7 +62,7 @@
 TEST_CASE("a box that is beyond its new room gets nothing new, and what works there goes on")
 {
 	JobWorld world;
-	world.site.guarded = false;
+	world.site.checks_capacity = false;
 	const WorldJob &lasting = world.Plan(Millis(1000), "calc", JobWorld::Lasting(4));
 	world.clock.RunUntil(Millis(4000));
 	REQUIRE(world.site.Running(lasting.spec.id) == 4);
@@ -81,7 +81,7 @@
 TEST_CASE("a run that came to work unseen is not stopped since its box has shrunk meanwhile")
 {
 	JobWorld world;
-	world.site.guarded = false;
+	world.site.checks_capacity = false;
 	for (const BoxReport &it : world.site.Reports()) {
 		world.site.faults[it.box] = BoxFaults{.lose_every = 1};
 	}
--- a/tests/test_same_id.cpp
+++ b/tests/test_same_id.cpp
@@ -137,10 +137,11 @@
 			}
 			for (const BoxReport &it : world.site.Reports()) {
 				world.clock.After(CRASHED_AT, [&world, box = it.box] { world.site.Crash(box); });
-				world.clock.After(CRASHED_AT + Millis(back + cut_after),
-								  [&world, box = it.box] { world.site.faults[box].dark = box.Value() != "calc-box3"; });
+				world.clock.After(CRASHED_AT + Millis(back + cut_after), [&world, box = it.box] {
+					world.site.faults[box].unreachable = box.Value() != "calc-box3";
+				});
 				world.clock.After(CRASHED_AT + Millis(back + cut_after) + CUT_FOR,
-								  [&world, box = it.box] { world.site.faults[box].dark = false; });
+								  [&world, box = it.box] { world.site.faults[box].unreachable = false; });
 			}
 			world.clock.RunUntil(Millis(60000));
 			CAPTURE(back);
@@ -162,7 +163,7 @@
 				world.TellEndedLives();
 			}
 			const WorldJob &guilty = world.Plan(Millis(3000), "calc", JobWorld::Chain(1));
-			world.site.JobOf(guilty.spec.id).crashers = {0};
+			world.site.JobOf(guilty.spec.id).crashing_tasks = {0};
 			std::vector<const WorldJob *> ordinary;
 			ordinary.reserve(ORDINARY);
 			for (int n = 0; n < ORDINARY; n++) {
--- a/tests/test_silent_partition.cpp
+++ b/tests/test_silent_partition.cpp
@@ -32,9 +32,9 @@
 {
 	for (const auto &node : world.nodes) {
 		if (mute) {
-			node->log.faults.mute.insert(partition);
+			node->log.faults.silent_partitions.insert(partition);
 		} else {
-			node->log.faults.mute.erase(partition);
+			node->log.faults.silent_partitions.erase(partition);
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	const WorldJob &job = world.Plan(Millis(0), "calc", JobWorld::Chain(2), Millis(300));
 	world.clock.RunUntil(SETTLED + Millis(1000));
 	WorldNode &fresh = world.Boot("node-new");
-	fresh.log.faults.mute.insert(JOURNAL);
+	fresh.log.faults.silent_partitions.insert(JOURNAL);
 	/* Frames go nowhere in this world: what counts is whom it would ask. */
 	fresh.desk.Ask(JobQuestion{ServiceName("calc"), RouteName("r-calc"), job.spec.id, AccountName()},
 				   world.clock.Now() + Millis(1000), [](const JobAnswer &) {});
--- a/tests/test_sockets.cpp
+++ b/tests/test_sockets.cpp
@@ -64,7 +64,7 @@
 			  path(EntryIdentity{MemberName("entry"), ZoneName("z"), Incarnation(1)}, GateSettings{}, LeaseTimes{},
 				   KeyLimits{}, RequestSettings{}, this->credentials),
 			  lane(this->path, limits, limits, DialLimits{}),
-			  listener([this](qintptr socket) { this->lane.Take(socket, false); })
+			  listener([this](qintptr socket) { this->lane.AddConnection(socket, false); })
 	{
 		this->endpoint.Start();
 		SimpleViewSpec spec;
