--- a/src/net/frame_link.h
+++ b/src/net/frame_link.h
@@ -136,7 +136,7 @@
 	void TryNext();
 
 	/** @return Whether the connection stands. */
-	[[nodiscard]] bool IsConnected() const { return this->link && this->link->Up(); }
+	[[nodiscard]] bool IsConnected() const { return this->link && this->link->IsConnected(); }
 
 	/** @return Bytes sent and received. */
 	[[nodiscard]] uint64_t Bytes() const;
