--- a/src/fleet/box_cmd.cpp
+++ b/src/fleet/box_cmd.cpp
@@ -1,4 +1,4 @@
-/** @file box_cmd.cpp Commands on boxes: registration, health, permits and the steps under a permit. */
+/** @file box_cmd.cpp Commands on boxes: registration, health, permits and steps. */
 #include "budget_func.h"
 #include "fleet_func.h"
 #include "fleet_hash.h"
@@ -8,16 +8,16 @@
 
 namespace {
 
-constexpr uint64_t PERMIT_INDEX_SPAN = 65536; ///< Permit ids count the proposals of a record below this.
+constexpr uint64_t PERMIT_IDS_PER_RECORD = 65536; ///< More than the proposals of any record.
 
-/** A step under a permit: from where it may start, where it leads. */
+/** Rule of a step: the states from which it is allowed and the state that it leads to. */
 struct StepRule {
-	BoxStepKind step;  ///< The step.
-	BoxState from;     ///< State that it starts from.
-	BoxState or_from;  ///< Another state that it starts from.
-	BoxState to;       ///< State that it leads to.
-	bool ends_permit;  ///< Whether the permit is over.
-	bool needs_permit; ///< Whether the box must hold the permit named.
+	BoxStepKind step;          ///< The step.
+	BoxState from;             ///< State from which it is allowed.
+	BoxState alternative_from; ///< Another such state, or the same.
+	BoxState to;               ///< State that it leads to.
+	bool ends_permit;          ///< Whether the permit ends with it.
+	bool needs_permit;         ///< Whether the box must hold the permit that the command names.
 };
 
 constexpr std::array _step_rules = {
@@ -37,12 +37,12 @@
 };
 
 /**
- * Whether every entry of the box's zone has confirmed the drain, and no job is left on the box.
+ * Checks that every entry of the box's zone has confirmed the drain and that no job is left on the box.
  * @param fleet The state.
- * @param box The box, with the confirmations so far.
- * @return Whether it is empty.
+ * @param box The box with the confirmations received.
+ * @return Whether it is drained.
  */
-bool IsEmpty(const FleetState &fleet, const Box &box)
+bool IsDrained(const FleetState &fleet, const Box &box)
 {
 	const auto used = fleet.box_used.find(box.name);
 	if (used != fleet.box_used.end() && used->second != 0) {
@@ -68,9 +68,9 @@
 }
 
 /**
- * Changes a box by a step whose preconditions hold.
+ * Applies a step to a box. The caller has checked its preconditions.
  * @param box The box.
- * @param rule The step's rule.
+ * @param rule Rule of the step.
  * @param now Log time.
  */
 void ApplyStep(Box &box, const StepRule &rule, Millis now)
@@ -99,30 +99,30 @@
 /**
  * @param fleet The state.
  * @param pool A pool.
- * @return Whether some row of the table uses it.
+ * @return Whether a row of the table uses it.
  */
 bool IsPool(const FleetState &fleet, const PoolName &pool)
 {
 	return std::ranges::any_of(fleet.rows, [&](const auto &it) { return it.second.pool == pool; });
 }
 
-/** @return The refusal for a box that is not there. */
-Result NoBox(const std::string &name)
+/** @return Refusal for a box that is not registered. */
+Result UnknownBox(const std::string &name)
 {
 	return {ResultCode::RC_UNKNOWN_BOX, name};
 }
 
 } // namespace
 
-Result CmdBoxRegister(const CommandContext &context, FleetState &fleet, const glade::wire::BoxRegisterT &it)
+Result CmdBoxRegister(const CommandContext &context, FleetState &fleet, const glade::wire::BoxRegisterT &command)
 {
-	if (it.box.empty() || it.zone.empty() || it.slots == 0) {
+	if (command.box.empty() || command.zone.empty() || command.slots == 0) {
 		return {ResultCode::RC_MALFORMED, "box, zone and slots are needed"};
 	}
-	const BoxName name(it.box);
+	const BoxName name(command.box);
 	const auto old = fleet.boxes.find(name);
-	if (old == fleet.boxes.end() && !IsPool(fleet, PoolName(it.pool))) {
-		return {ResultCode::RC_UNKNOWN_POOL, it.pool};
+	if (old == fleet.boxes.end() && !IsPool(fleet, PoolName(command.pool))) {
+		return {ResultCode::RC_UNKNOWN_POOL, command.pool};
 	}
 	if (context.mode == CommandMode::CM_TEST) {
 		return {};
@@ -130,37 +130,37 @@
 	Box box = old == fleet.boxes.end() ? Box() : old->second;
 	if (old == fleet.boxes.end()) {
 		box.name = name;
-		box.pool = PoolName(it.pool);
+		box.pool = PoolName(command.pool);
 		box.registered = fleet.time;
 		box.since = fleet.time;
 	}
-	box.SetDomains(ZoneName(it.zone), RackName(it.rack));
-	box.address = it.address;
-	box.slots = Slots(it.slots);
+	box.SetDomains(ZoneName(command.zone), RackName(command.rack));
+	box.address = command.address;
+	box.slots = Slots(command.slots);
 	box.epoch = BoxEpoch(box.epoch.Value() + 1);
 	fleet.Put(fleet.boxes, name, std::move(box));
 	return {};
 }
 
-Result CmdBoxHealth(const CommandContext &context, FleetState &fleet, const glade::wire::BoxHealthReportT &it)
+Result CmdBoxHealth(const CommandContext &context, FleetState &fleet, const glade::wire::BoxHealthReportT &command)
 {
-	const auto old = fleet.boxes.find(BoxName(it.box));
+	const auto old = fleet.boxes.find(BoxName(command.box));
 	if (old == fleet.boxes.end()) {
-		return NoBox(it.box);
+		return UnknownBox(command.box);
 	}
-	if (it.health > static_cast<uint8_t>(BoxHealth::BH_LEAVING)) {
-		return {ResultCode::RC_MALFORMED, "health " + std::to_string(it.health)};
+	if (command.health > static_cast<uint8_t>(BoxHealth::BH_LEAVING)) {
+		return {ResultCode::RC_MALFORMED, "health " + std::to_string(command.health)};
 	}
-	if (old->second.epoch.Value() != it.epoch) {
-		return {ResultCode::RC_STALE_EPOCH, it.box};
+	if (old->second.epoch.Value() != command.epoch) {
+		return {ResultCode::RC_STALE_EPOCH, command.box};
 	}
 	if (context.mode == CommandMode::CM_TEST) {
 		return {};
 	}
 	Box box = old->second;
-	const auto health = static_cast<BoxHealth>(it.health);
+	const auto health = static_cast<BoxHealth>(command.health);
 	if (health == BoxHealth::BH_DOWN && box.health != BoxHealth::BH_DOWN) {
-		/* What was placed here before the failure must not be taken for work of the box that comes back. */
+		/* The new epoch separates work placed before the failure from work placed after the box has returned. */
 		box.epoch = BoxEpoch(box.epoch.Value() + 1);
 	}
 	box.health_since = box.health == health ? box.health_since : fleet.time;
@@ -169,89 +169,90 @@
 	return {};
 }
 
-Result CmdPermitGrant(const CommandContext &context, FleetState &fleet, const glade::wire::PermitGrantT &it)
+Result CmdPermitGrant(const CommandContext &context, FleetState &fleet, const glade::wire::PermitGrantT &command)
 {
 	if (Result term = CheckTerm(context, fleet); !term.Ok()) {
 		return term;
 	}
-	const auto old = fleet.boxes.find(BoxName(it.box));
+	const auto old = fleet.boxes.find(BoxName(command.box));
 	if (old == fleet.boxes.end()) {
-		return NoBox(it.box);
+		return UnknownBox(command.box);
 	}
 	Box box = old->second;
-	const auto purpose = static_cast<PermitPurpose>(it.purpose);
+	const auto purpose = static_cast<PermitPurpose>(command.purpose);
 	if (purpose != PermitPurpose::PP_MAINTAIN && purpose != PermitPurpose::PP_MOVE) {
-		return {ResultCode::RC_MALFORMED, "purpose " + std::to_string(it.purpose)};
+		return {ResultCode::RC_MALFORMED, "purpose " + std::to_string(command.purpose)};
 	}
-	if (box.epoch.Value() != it.epoch) {
-		return {ResultCode::RC_STALE_EPOCH, it.box};
+	if (box.epoch.Value() != command.epoch) {
+		return {ResultCode::RC_STALE_EPOCH, command.box};
 	}
 	if (box.state != BoxState::BS_SERVING || box.permit != PermitId()) {
-		return {ResultCode::RC_WRONG_STATE, it.box};
+		return {ResultCode::RC_WRONG_STATE, command.box};
 	}
 	if (purpose == PermitPurpose::PP_MOVE &&
-		(PoolName(it.move_to) == box.pool || !IsPool(fleet, PoolName(it.move_to)))) {
-		return {ResultCode::RC_UNKNOWN_POOL, it.move_to};
+		(PoolName(command.move_to) == box.pool || !IsPool(fleet, PoolName(command.move_to)))) {
+		return {ResultCode::RC_UNKNOWN_POOL, command.move_to};
 	}
-	/* A box that takes no work anyway costs no budget. */
+	/* Taking down a box that accepts no work anyway does not reduce the capacity. */
 	if (TakesWork(box)) {
-		if (Result budget = CheckBudget(PoolModelOf(fleet, box.pool), box, it.urgent); !budget.Ok()) {
+		if (Result budget = CheckBudget(PoolModelOf(fleet, box.pool), box, command.urgent); !budget.Ok()) {
 			return budget;
 		}
 	}
 	if (context.mode == CommandMode::CM_TEST) {
 		return {};
 	}
-	box.permit = PermitId(context.offset.Value() * PERMIT_INDEX_SPAN + context.index + 1);
+	box.permit = PermitId(context.offset.Value() * PERMIT_IDS_PER_RECORD + context.index + 1);
 	box.purpose = purpose;
-	box.urgent = it.urgent;
-	box.move_to = PoolName(it.move_to);
+	box.urgent = command.urgent;
+	box.move_to = PoolName(command.move_to);
 	box.state = BoxState::BS_DRAINING;
 	box.since = fleet.time;
 	fleet.Put(fleet.boxes, box.name, box);
 	return {};
 }
 
-Result CheckBoxStep(const FleetState &fleet, const glade::wire::BoxStepT &it, Box &next)
+Result CheckBoxStep(const FleetState &fleet, const glade::wire::BoxStepT &command, Box &next)
 {
-	const auto old = fleet.boxes.find(BoxName(it.box));
+	const auto old = fleet.boxes.find(BoxName(command.box));
 	if (old == fleet.boxes.end()) {
-		return NoBox(it.box);
+		return UnknownBox(command.box);
 	}
 	next = old->second;
-	const auto rule = std::ranges::find(_step_rules, static_cast<BoxStepKind>(it.step), &StepRule::step);
+	const auto rule = std::ranges::find(_step_rules, static_cast<BoxStepKind>(command.step), &StepRule::step);
 	if (rule == _step_rules.end()) {
-		return {ResultCode::RC_MALFORMED, "step " + std::to_string(it.step)};
+		return {ResultCode::RC_MALFORMED, "step " + std::to_string(command.step)};
 	}
-	if (rule->needs_permit && (it.permit == 0 || next.permit.Value() != it.permit)) {
-		return {ResultCode::RC_WRONG_PERMIT, it.box};
+	if (rule->needs_permit && (command.permit == 0 || next.permit.Value() != command.permit)) {
+		return {ResultCode::RC_WRONG_PERMIT, command.box};
 	}
-	const PermitPurpose wanted = rule->step == BoxStepKind::BK_CHANGE_POOL ? PermitPurpose::PP_MOVE
-								 : rule->step == BoxStepKind::BK_REBOOT    ? PermitPurpose::PP_MAINTAIN
-																		   : next.purpose;
-	if ((next.state != rule->from && next.state != rule->or_from) || next.purpose != wanted) {
-		return {ResultCode::RC_WRONG_STATE, it.box};
+	const PermitPurpose required_purpose = rule->step == BoxStepKind::BK_CHANGE_POOL ? PermitPurpose::PP_MOVE
+										   : rule->step == BoxStepKind::BK_REBOOT    ? PermitPurpose::PP_MAINTAIN
+																					 : next.purpose;
+	if ((next.state != rule->from && next.state != rule->alternative_from) || next.purpose != required_purpose) {
+		return {ResultCode::RC_WRONG_STATE, command.box};
 	}
 	if (rule->step == BoxStepKind::BK_CHANGE_POOL && !IsPool(fleet, next.move_to)) {
 		return {ResultCode::RC_UNKNOWN_POOL, next.move_to.Value()};
 	}
 	if (rule->step == BoxStepKind::BK_EMPTIED) {
-		/* Each keeper tells what the entries connected to it have confirmed; the box is empty when all have. */
-		const size_t before = next.confirmed.size();
-		next.confirmed.insert(it.confirmed.begin(), it.confirmed.end());
-		if (!IsEmpty(fleet, next)) {
-			const bool news = next.confirmed.size() > before;
-			return news ? Result() : Result{ResultCode::RC_WRONG_STATE, it.box + " is not empty yet"};
+		/* Each keeper reports the confirmations of its entries; the box is empty when all have confirmed. */
+		const size_t confirmed_before = next.confirmed.size();
+		next.confirmed.insert(command.confirmed.begin(), command.confirmed.end());
+		if (!IsDrained(fleet, next)) {
+			const bool confirmations_added = next.confirmed.size() > confirmed_before;
+			return confirmations_added ? Result()
+									   : Result{ResultCode::RC_WRONG_STATE, command.box + " is not empty yet"};
 		}
 	}
 	ApplyStep(next, *rule, fleet.time);
 	return {};
 }
 
-Result CmdBoxStep(const CommandContext &context, FleetState &fleet, const glade::wire::BoxStepT &it)
+Result CmdBoxStep(const CommandContext &context, FleetState &fleet, const glade::wire::BoxStepT &command)
 {
 	Box next;
-	Result result = CheckBoxStep(fleet, it, next);
+	Result result = CheckBoxStep(fleet, command, next);
 	if (result.Ok() && context.mode == CommandMode::CM_EXECUTE) {
 		fleet.Put(fleet.boxes, next.name, next);
 	}
--- a/src/fleet/budget_func.cpp
+++ b/src/fleet/budget_func.cpp
@@ -1,4 +1,4 @@
-/** @file budget_func.cpp Availability budgets: whether one more box of a pool may go down by plan. */
+/** @file budget_func.cpp Availability budgets: whether one more box of a pool may be taken down for planned work. */
 #include "budget_func.h"
 
 #include <algorithm>
@@ -9,13 +9,13 @@
 
 constexpr std::array _guards = {Guard::GD_BOX, Guard::GD_RACK, Guard::GD_ZONE}; ///< Guards that need headroom.
 
-/** Slots by failure domain. Domains are few: a flat list beats a map. */
+/** Slots by failure domain, in a flat list: a pool has too few domains for a map to be faster. */
 class DomainSums {
 public:
 	/**
-	 * Counts slots in a domain.
-	 * @param key The domain.
-	 * @param slots The slots.
+	 * Adds slots to the sum of a domain.
+	 * @param key Number of the domain, from Box::SetDomains().
+	 * @param slots Slots to add.
 	 */
 	void Add(uint64_t key, uint64_t slots)
 	{
@@ -27,7 +27,7 @@
 		}
 	}
 
-	/** @return The largest sum. */
+	/** @return The largest sum, 0 without domains. */
 	[[nodiscard]] uint64_t Largest() const
 	{
 		const auto it = std::ranges::max_element(this->sums, {}, &Sum::slots);
@@ -37,7 +37,7 @@
 private:
 	/** Slots of one domain. */
 	struct Sum {
-		uint64_t key = 0;   ///< The domain.
+		uint64_t key = 0;   ///< Number of the domain.
 		uint64_t slots = 0; ///< Its slots.
 	};
 
@@ -46,17 +46,17 @@
 
 /** Boxes of a pool that are down, in the failure domains of one box. */
 struct DownCount {
-	uint32_t zone = 0; ///< Down in the same availability zone.
-	uint32_t rack = 0; ///< Down in the same rack.
+	uint32_t zone = 0; ///< Boxes down in the same availability zone.
+	uint32_t rack = 0; ///< Boxes down in the same rack.
 };
 
 /**
- * Counts the boxes of a pool that do not take work and share a failure domain with a box.
+ * Counts the other boxes of a pool that accept no new work and share a zone or rack with a box.
  * @param pool The pool.
- * @param box The box; not counted itself.
+ * @param box The box, itself not counted.
  * @return The counts.
  */
-DownCount DownBeside(const PoolModel &pool, const Box &box)
+DownCount CountDownInDomains(const PoolModel &pool, const Box &box)
 {
 	DownCount down;
 	for (const Box &it : pool.boxes) {
@@ -93,34 +93,34 @@
 
 PoolModel PoolModelOf(const FleetState &fleet, const PoolName &pool)
 {
-	PoolModel picture;
-	picture.name = pool;
+	PoolModel model;
+	model.name = pool;
 	for (const auto &[service, row] : fleet.rows) {
 		if (row.pool == pool) {
-			picture.rows.push_back(row);
+			model.rows.push_back(row);
 		}
 	}
 	for (const auto &[name, box] : fleet.boxes) {
 		if (box.pool == pool) {
-			picture.boxes.push_back(box);
+			model.boxes.push_back(box);
 		}
 	}
-	return picture;
+	return model;
 }
 
 std::map<PoolName, PoolModel> PoolModelsOf(const FleetState &fleet)
 {
-	std::map<PoolName, PoolModel> pictures;
+	std::map<PoolName, PoolModel> models;
 	for (const auto &[service, row] : fleet.rows) {
-		pictures[row.pool].rows.push_back(row);
+		models[row.pool].rows.push_back(row);
 	}
 	for (const auto &[name, box] : fleet.boxes) {
-		pictures[box.pool].boxes.push_back(box);
+		models[box.pool].boxes.push_back(box);
 	}
-	for (auto &[name, picture] : pictures) {
-		picture.name = name;
+	for (auto &[name, model] : models) {
+		model.name = name;
 	}
-	return pictures;
+	return models;
 }
 
 PoolCapacity CapacityOf(const PoolModel &pool, const BoxName *without)
@@ -184,7 +184,7 @@
 													 " slots, floors " + std::to_string(floors.All()) +
 													 (urgent ? "" : ", and headroom for the largest domain")};
 	}
-	const DownCount down = DownBeside(pool, box);
+	const DownCount down = CountDownInDomains(pool, box);
 	for (const ServiceRow &row : pool.rows) {
 		if (row.zone_budget != 0 && down.zone + 1 > row.zone_budget) {
 			return {ResultCode::RC_BUDGET_ZONE, "service " + row.service.Value() + ", zone " + box.zone.Value()};
--- a/src/fleet/budget_func.h
+++ b/src/fleet/budget_func.h
@@ -1,4 +1,4 @@
-/** @file budget_func.h Availability budgets: whether one more box of a pool may go down by plan. */
+/** @file budget_func.h Availability budgets: whether one more box of a pool may be taken down for planned work. */
 #ifndef BUDGET_FUNC_H
 #define BUDGET_FUNC_H
 
@@ -7,38 +7,38 @@
 #include <map>
 #include <vector>
 
-/** A pool as budgets see it. Planners change the copies of the boxes to see where a step would lead. */
+/** Services and boxes of a pool. The boxes are copies: planners change them to evaluate a step before proposing it. */
 struct PoolModel {
 	PoolName name;                ///< The pool.
-	std::vector<ServiceRow> rows; ///< Services that it serves.
-	std::vector<Box> boxes;       ///< Its boxes, by name.
+	std::vector<ServiceRow> rows; ///< Rows of the services in the pool.
+	std::vector<Box> boxes;       ///< Boxes of the pool, sorted by name.
 };
 
 /** Capacity of a pool in slots, and the largest loss per failure domain. */
 struct PoolCapacity {
-	uint64_t up = 0;           ///< Slots of boxes that take work.
+	uint64_t up = 0;           ///< Slots of the boxes that accept new work.
 	uint64_t largest_box = 0;  ///< Slots of the largest such box.
 	uint64_t largest_rack = 0; ///< Slots of the largest rack among them.
 	uint64_t largest_zone = 0; ///< Slots of the largest availability zone among them.
 
 	/**
 	 * @param guard A failure domain.
-	 * @return The largest loss of that kind.
+	 * @return Slots lost when the largest domain of this kind fails, 0 for GD_NONE.
 	 */
 	[[nodiscard]] uint64_t LossOf(Guard guard) const;
 };
 
-/** Floors of a pool's services, by what they must survive. */
+/** Floors of a pool's services in slots, summed by the failure that they must survive. */
 struct PoolFloors {
-	uint64_t at_least[4] = {0, 0, 0, 0}; ///< Sum of the floors of services with this guard or a stricter one.
+	uint64_t at_least[4] = {0, 0, 0, 0}; ///< Floors of services with this guard or a stricter one; index: Guard.
 
-	/** @return Sum of all floors. */
+	/** @return Sum of all floors in slots. */
 	[[nodiscard]] uint64_t All() const { return this->at_least[static_cast<int>(Guard::GD_NONE)]; }
 };
 
 /**
  * @param box A box.
- * @return Whether it takes work: serving, and known to be up.
+ * @return Whether it accepts new work: its state is BS_SERVING and its health BH_UP.
  */
 bool TakesWork(const Box &box);
 
@@ -50,17 +50,17 @@
 PoolModel PoolModelOf(const FleetState &fleet, const PoolName &pool);
 
 /**
- * All pools in one pass: those that rows name and those that boxes are in.
+ * Builds the models of all pools in one pass: pools named by a row of the table and pools that have boxes.
  * @param fleet The state.
- * @return Pictures by pool.
+ * @return Models by pool name.
  */
 std::map<PoolName, PoolModel> PoolModelsOf(const FleetState &fleet);
 
 /**
- * Capacity of a pool.
+ * Sums the capacity of a pool.
  * @param pool The pool.
- * @param without A box counted as down, or null.
- * @return Sums over boxes that take work.
+ * @param without Name of a box to count as down, or null.
+ * @return Sums over the boxes that accept new work.
  */
 PoolCapacity CapacityOf(const PoolModel &pool, const BoxName *without = nullptr);
 
@@ -73,22 +73,23 @@
 /**
  * @param capacity Capacity of a pool.
  * @param floors Floors of its services.
- * @param with_headroom Whether the guards count too; without, the bare floors.
+ * @param with_headroom Whether the floors must also hold after the failure that their guards name.
  * @return Whether the floors hold.
  */
 bool FloorsHold(const PoolCapacity &capacity, const PoolFloors &floors, bool with_headroom);
 
 /**
- * Slots that a pool must hold idle for its guards: the loss of the strictest guard of a service with a floor.
+ * Slots that a pool must keep idle for its guards: the largest loss among the guards of services with a floor.
  * @param capacity Capacity of the pool.
  * @param floors Floors of its services.
- * @return Slots.
+ * @return Headroom in slots.
  */
 uint64_t HeadroomOf(const PoolCapacity &capacity, const PoolFloors &floors);
 
 /**
- * Checks whether a box may go down by plan. Boxes down for any reason count, unknown counts as down. The urgent
- * class may use up the headroom for the next failure, never the floors.
+ * Checks whether a box may be taken down for planned work. Boxes that are down for any reason count against the
+ * budget, and so do boxes of unknown health. Urgent permits may use the headroom reserved for the next failure, but
+ * never go below the floors.
  * @param pool The pool of the box.
  * @param box The box.
  * @param urgent Whether the permit is of the urgent class.
--- a/src/fleet/fleet_base.h
+++ b/src/fleet/fleet_base.h
@@ -1,4 +1,4 @@
-/** @file fleet_base.h The fleet's state: a pure fold over the records of the platform's log. */
+/** @file fleet_base.h The fleet's state: a pure function of the records of the platform's log. */
 #ifndef FLEET_BASE_H
 #define FLEET_BASE_H
 
@@ -12,8 +12,8 @@
 
 /** A cell of the published table with the version that last changed it. */
 struct Cell {
-	std::string value;    ///< Text as published.
-	TableVersion version; ///< Publication that set it.
+	std::string value;    ///< Text of the cell as published.
+	TableVersion version; ///< Version of the publication that set it.
 
 	auto operator<=>(const Cell &) const = default;
 };
@@ -26,59 +26,59 @@
 	auto operator<=>(const CellKey &) const = default;
 };
 
-/** Who plans a region. */
-struct PlannerSeat {
-	MemberName member; ///< The planning keeper.
-	Term term;         ///< Raised at each take-over.
+/** Keeper that plans a region. */
+struct PlannerAssignment {
+	MemberName member; ///< Name of the keeper.
+	Term term;         ///< Increases each time that a keeper takes over.
 
-	auto operator<=>(const PlannerSeat &) const = default;
+	auto operator<=>(const PlannerAssignment &) const = default;
 };
 
-/** Joins and leaves of entries in an availability zone: who owned a key may have changed with each. */
+/** Number of joins and leaves of entries in an availability zone. Each of them may change which entry owns a key. */
 struct ZoneChange {
-	uint64_t changes = 0; ///< How many there were.
+	uint64_t changes = 0; ///< Number of joins and leaves.
 	Millis last;          ///< Log time of the last one.
 
 	auto operator<=>(const ZoneChange &) const = default;
 };
 
-/** How far a writer has come: what makes a repeated append harmless. */
-struct WriterMark {
-	Incarnation incarnation; ///< Latest start that has written.
-	uint64_t sequence = 0;   ///< Last proposal decided.
-	Millis last;             ///< Log time of it.
+/** Last proposal of a writer that was decided: repeated appends are recognised by it and ignored. */
+struct WriterProgress {
+	Incarnation incarnation; ///< Latest incarnation that has written.
+	uint64_t sequence = 0;   ///< Sequence number of the last proposal decided.
+	Millis last;             ///< Log time of that decision.
 
-	auto operator<=>(const WriterMark &) const = default;
+	auto operator<=>(const WriterProgress &) const = default;
 };
 
 /**
- * State of the fleet after the log up to `offset`. Deterministic: two processes that have read to the same offset
- * have the same state and the same hash. No clock, no floating point, no hash order.
+ * State of the fleet after applying the log up to `offset`. Deterministic: all processes at the same offset have the
+ * same state and the same hash. So it uses no clock, no floating point and no containers with an order by hash.
  *
- * Entities are changed through Put() and Drop() only: they keep the hash, a sum of the hashes of all entities, so
- * that a record costs the entities it touches and not the fleet.
+ * Entities are changed only through Put() and Drop(), which update the hash. It is a sum of the hashes of all entities,
+ * so the cost of a record depends on the entities that it changes, not on the size of the fleet.
  */
 class FleetState {
 public:
-	LogOffset offset;           ///< Last record folded.
-	Millis time;                ///< Largest stamp of the log seen.
-	uint32_t rule_version = 1;  ///< Rules in force.
-	TableVersion table_version; ///< Publication in force.
-
-	std::map<CellKey, Cell> cells;              ///< The table as published.
-	std::map<ServiceName, ServiceRow> rows;     ///< The table compiled; derived from `cells`, not hashed.
-	std::map<BoxName, Box> boxes;               ///< All boxes.
-	std::map<MemberName, Member> members;       ///< All processes of the system.
-	std::map<ZoneName, ZoneChange> zones;       ///< Changes among the entries of each zone.
-	std::map<RegionName, PlannerSeat> planners; ///< Who plans.
-	std::map<std::string, WriterMark> writers;  ///< How far each writer came.
-	std::map<TeamName, uint32_t> teams;         ///< Quotas, in job units.
-	std::map<JobName, Job> jobs;                ///< All jobs not yet forgotten.
-	std::map<TeamName, uint32_t> team_used;     ///< Units in use; derived.
-	std::map<BoxName, uint32_t> box_used;       ///< Job units placed on a box; derived.
+	LogOffset offset;           ///< Last record applied.
+	Millis time;                ///< Largest time stamp seen in the log.
+	uint32_t rule_version = 1;  ///< Rule version in force.
+	TableVersion table_version; ///< Table version in force.
+
+	std::map<CellKey, Cell> cells;                    ///< Cells of the table as published.
+	std::map<ServiceName, ServiceRow> rows;           ///< Compiled rows of the table; derived from `cells`, not hashed.
+	std::map<BoxName, Box> boxes;                     ///< Boxes by name.
+	std::map<MemberName, Member> members;             ///< Processes of the system by name.
+	std::map<ZoneName, ZoneChange> zones;             ///< Joins and leaves of entries by zone.
+	std::map<RegionName, PlannerAssignment> planners; ///< Planning keeper of each region.
+	std::map<std::string, WriterProgress> writers;    ///< Last proposal decided of each writer.
+	std::map<TeamName, uint32_t> teams;               ///< Quota of each team in job units.
+	std::map<JobName, Job> jobs;                      ///< Jobs by name; removed some time after their end.
+	std::map<TeamName, uint32_t> team_used;           ///< Job units in use by each team; derived.
+	std::map<BoxName, uint32_t> box_used;             ///< Job units placed on each box; derived.
 
 	/**
-	 * Adds or replaces an entity and keeps the hash.
+	 * Adds or replaces an entity and updates the hash.
 	 * @param map The map of this state that holds it.
 	 * @param key Its key.
 	 * @param value The new value.
@@ -87,35 +87,35 @@
 	void Put(std::map<Key, Value> &map, const Key &key, Value value);
 
 	/**
-	 * Removes an entity, if it is there, and keeps the hash.
+	 * Removes an entity, if there is one, and updates the hash.
 	 * @param map The map of this state that holds it.
 	 * @param key Its key.
 	 */
 	template <class Key, class Value>
 	void Drop(std::map<Key, Value> &map, const Key &key);
 
-	/** @return Hash of the whole state; the same for all who stand at the same offset. */
+	/** @return Hash of the whole state; equal for all processes at the same offset. */
 	[[nodiscard]] uint64_t Hash() const;
 
-	/** Computes hash and derived maps anew, after loading a snapshot. */
+	/** Recomputes the hash and the derived maps after loading a snapshot. */
 	void Rebuild();
 
-	/** @return Hash computed from all entities, to check the running one. */
+	/** @return Hash computed from all entities, to check the one that is updated record by record. */
 	[[nodiscard]] uint64_t RecomputeHash() const;
 
 private:
-	uint64_t entity_sum = 0; ///< Sum of the hashes of all entities.
+	uint64_t entity_hash_sum = 0; ///< Sum of the hashes of all entities.
 
-	[[nodiscard]] uint64_t SumAll() const;
-	void CountJob(const Job &job, int sign);
+	[[nodiscard]] uint64_t SumEntityHashes() const;
+	void AddJobUnits(const Job &job, int sign);
 	template <class Key, class Value>
-	void CountDerived(const Key &key, const Value &value, int sign);
+	void UpdateDerived(const Key &key, const Value &value, int sign);
 };
 
-/** Whether a command only checks or also changes the state. */
+/** Whether a command only checks a change or also makes it. */
 enum class CommandMode : uint8_t {
-	CM_TEST,    ///< Check alone: what `glade table check` and planners use.
-	CM_EXECUTE, ///< Check, then change.
+	CM_TEST,    ///< Check only; used by `glade table check` and by planners.
+	CM_EXECUTE, ///< Check, then change the state.
 };
 
 #endif /* FLEET_BASE_H */
--- a/src/fleet/fleet_func.cpp
+++ b/src/fleet/fleet_func.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_func.cpp The fold: decodes records of the log and applies their proposals in order. */
+/** @file fleet_func.cpp Decodes records of the log and applies their proposals to the state in order. */
 #include "fleet_func.h"
 
 #include "fleet_hash.h"
@@ -11,33 +11,33 @@
 using glade::wire::Change;
 using glade::wire::ChangeUnion;
 
-constexpr uint64_t SWEEP_EVERY = 1024;         ///< Records between two sweeps of what may be forgotten.
-constexpr Millis KEEP_FINISHED(MS_PER_DAY);    ///< How long a finished job is remembered.
-constexpr Millis KEEP_WRITER(14 * MS_PER_DAY); ///< How long a silent writer is remembered; over any retention.
+constexpr uint64_t SWEEP_INTERVAL_RECORDS = 1024;        ///< Records between two runs of RemoveExpired().
+constexpr Millis FINISHED_JOB_RETENTION(MS_PER_DAY);     ///< Time that a finished job is kept.
+constexpr Millis IDLE_WRITER_RETENTION(14 * MS_PER_DAY); ///< Longer than any retention of the log.
 
 /**
- * Turns a publication of the log into an edit.
- * @param it The publication.
+ * Converts a publication from the log to an edit.
+ * @param publication The publication.
  * @return The edit.
  */
-TableEdit EditOf(const glade::wire::TablePublishT &it)
+TableEdit EditOf(const glade::wire::TablePublishT &publication)
 {
 	TableEdit edit;
-	edit.base = TableVersion(it.base_version);
-	for (const auto &cell : it.cells) {
+	edit.base = TableVersion(publication.base_version);
+	for (const auto &cell : publication.cells) {
 		edit.cells.push_back(CellEdit{CellKey{ServiceName(cell->service), cell->column}, cell->value});
 	}
-	for (const std::string &service : it.removed_services) {
+	for (const std::string &service : publication.removed_services) {
 		edit.removed.emplace_back(service);
 	}
 	return edit;
 }
 
 /**
- * Decides whether a proposal is new, by the mark of its writer.
+ * Checks by the last decided proposal of its writer whether a proposal is new.
  * @param fleet The state.
- * @param id The proposal.
- * @return RC_OK, RC_DUPLICATE or RC_FENCED.
+ * @param id Id of the proposal.
+ * @return RC_OK, RC_DUPLICATE, or RC_FENCED when a later incarnation has written.
  */
 Result CheckWriter(const FleetState &fleet, const ProposalId &id)
 {
@@ -52,22 +52,22 @@
 }
 
 /**
- * Forgets finished jobs and silent writers. Runs at fixed offsets, so every process forgets the same.
+ * Removes old finished jobs and idle writers. Runs at fixed offsets, so that every process removes the same ones.
  * @param fleet The state.
  */
-void Sweep(FleetState &fleet)
+void RemoveExpired(FleetState &fleet)
 {
 	std::vector<JobName> old_jobs;
 	for (const auto &[name, job] : fleet.jobs) {
 		const bool finished = job.state == JobState::JS_DONE || job.state == JobState::JS_CANCELLED ||
 							  job.state == JobState::JS_PARKED;
-		if (finished && job.since + KEEP_FINISHED < fleet.time) {
+		if (finished && job.since + FINISHED_JOB_RETENTION < fleet.time) {
 			old_jobs.push_back(name);
 		}
 	}
 	std::vector<std::string> old_writers;
-	for (const auto &[name, mark] : fleet.writers) {
-		if (mark.last + KEEP_WRITER < fleet.time && !fleet.members.contains(MemberName(name))) {
+	for (const auto &[name, progress] : fleet.writers) {
+		if (progress.last + IDLE_WRITER_RETENTION < fleet.time && !fleet.members.contains(MemberName(name))) {
 			old_writers.push_back(name);
 		}
 	}
@@ -80,12 +80,12 @@
 }
 
 /**
- * Folds the proposals of a batch.
+ * Applies the proposals of a batch.
  * @param fleet The state.
  * @param batch The batch.
  * @return A decision per proposal.
  */
-std::vector<Decision> FoldBatch(FleetState &fleet, const BatchT &batch)
+std::vector<Decision> ApplyBatch(FleetState &fleet, const BatchT &batch)
 {
 	std::vector<Decision> decisions;
 	CommandContext context;
@@ -103,7 +103,7 @@
 			decision.result = batch.rule_version == fleet.rule_version
 									  ? RunCommand(context, fleet, proposal->change)
 									  : Result{ResultCode::RC_RULE_VERSION, std::to_string(batch.rule_version)};
-			fleet.Put(fleet.writers, batch.writer, WriterMark{context.incarnation, proposal->sequence, fleet.time});
+			fleet.Put(fleet.writers, batch.writer, WriterProgress{context.incarnation, proposal->sequence, fleet.time});
 		}
 		decisions.push_back(std::move(decision));
 		context.index++;
@@ -145,10 +145,10 @@
 	const std::unique_ptr<BatchT> batch = DecodeBatch(record.bytes);
 	std::vector<Decision> decisions;
 	if (batch) {
-		decisions = FoldBatch(fleet, *batch);
+		decisions = ApplyBatch(fleet, *batch);
 	}
-	if (record.offset.Value() % SWEEP_EVERY == 0) {
-		Sweep(fleet);
+	if (record.offset.Value() % SWEEP_INTERVAL_RECORDS == 0) {
+		RemoveExpired(fleet);
 	}
 	return decisions;
 }
@@ -184,7 +184,7 @@
 	case Change::JobCancel:
 		return CmdJobCancel(context, fleet, *change.AsJobCancel());
 	case Change::SnapshotChunk:
-		return {}; /* Chunks are read by those who join; they change nothing. */
+		return {}; /* Read by SnapshotCollector; does not change the state. */
 	case Change::RuleAdvance:
 		return CmdRuleAdvance(context, fleet, *change.AsRuleAdvance());
 	case Change::NONE:
--- a/src/fleet/fleet_hash.cpp
+++ b/src/fleet/fleet_hash.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/** Collects the fields of an entity in a fixed byte order. */
-class HashBytes {
+/** Serialises the fields of an entity in a fixed byte order and hashes them. */
+class EntityHasher {
 public:
-	explicit HashBytes(char kind) { this->buf.push_back(kind); }
+	explicit EntityHasher(char kind) { this->buf.push_back(kind); }
 
-	HashBytes &Add(uint64_t n)
+	EntityHasher &Add(uint64_t n)
 	{
 		for (int i = 0; i < 8; i++) {
 			this->buf.push_back(static_cast<char>((n >> (8 * i)) & 0xFF));
@@ -21,7 +21,7 @@
 		return *this;
 	}
 
-	HashBytes &Add(const std::string &text)
+	EntityHasher &Add(const std::string &text)
 	{
 		this->Add(static_cast<uint64_t>(text.size()));
 		this->buf += text;
@@ -29,7 +29,7 @@
 	}
 
 	template <class Tag, class Rep>
-	HashBytes &Add(const Strong<Tag, Rep> &value)
+	EntityHasher &Add(const Strong<Tag, Rep> &value)
 	{
 		if constexpr (std::is_integral_v<Rep>) {
 			return this->Add(static_cast<uint64_t>(value.Value()));
@@ -38,7 +38,7 @@
 		}
 	}
 
-	HashBytes &Add(const std::set<std::string> &all)
+	EntityHasher &Add(const std::set<std::string> &all)
 	{
 		this->Add(static_cast<uint64_t>(all.size()));
 		for (const std::string &it : all) {
@@ -48,12 +48,12 @@
 	}
 
 	template <class Enum>
-	requires std::is_enum_v<Enum> HashBytes &Add(Enum value) { return this->Add(static_cast<uint64_t>(value)); }
+	requires std::is_enum_v<Enum> EntityHasher &Add(Enum value) { return this->Add(static_cast<uint64_t>(value)); }
 
 	[[nodiscard]] uint64_t Finish() const { return XXH3_64bits(this->buf.data(), this->buf.size()); }
 
 private:
-	std::string buf; ///< Fields so far.
+	std::string buf; ///< Bytes of the fields added.
 };
 
 /**
@@ -62,7 +62,7 @@
  * @return The sum.
  */
 template <class Key, class Value>
-uint64_t SumOf(const std::map<Key, Value> &map)
+uint64_t SumHashes(const std::map<Key, Value> &map)
 {
 	uint64_t sum = 0;
 	for (const auto &[key, value] : map) {
@@ -75,12 +75,12 @@
 
 uint64_t HashEntity(const CellKey &key, const Cell &value)
 {
-	return HashBytes('c').Add(key.service).Add(key.column).Add(value.value).Add(value.version).Finish();
+	return EntityHasher('c').Add(key.service).Add(key.column).Add(value.value).Add(value.version).Finish();
 }
 
 uint64_t HashEntity(const BoxName &key, const Box &value)
 {
-	HashBytes hash('b');
+	EntityHasher hash('b');
 	hash.Add(key).Add(value.zone).Add(value.rack).Add(value.address).Add(value.slots).Add(value.pool).Add(value.epoch);
 	hash.Add(value.state).Add(value.health).Add(value.permit).Add(value.purpose).Add(uint64_t{value.urgent});
 	hash.Add(value.move_to).Add(value.last_maintained).Add(value.since).Add(uint64_t{value.strikes});
@@ -90,7 +90,7 @@
 
 uint64_t HashEntity(const MemberName &key, const Member &value)
 {
-	HashBytes hash('m');
+	EntityHasher hash('m');
 	hash.Add(key).Add(value.role).Add(value.region).Add(value.zone).Add(value.address).Add(value.incarnation);
 	hash.Add(value.frames);
 	return hash.Add(value.since).Add(uint64_t{value.rules}).Add(value.witnesses).Finish();
@@ -98,27 +98,27 @@
 
 uint64_t HashEntity(const ZoneName &key, const ZoneChange &value)
 {
-	return HashBytes('z').Add(key).Add(value.changes).Add(value.last).Finish();
+	return EntityHasher('z').Add(key).Add(value.changes).Add(value.last).Finish();
 }
 
-uint64_t HashEntity(const RegionName &key, const PlannerSeat &value)
+uint64_t HashEntity(const RegionName &key, const PlannerAssignment &value)
 {
-	return HashBytes('p').Add(key).Add(value.member).Add(value.term).Finish();
+	return EntityHasher('p').Add(key).Add(value.member).Add(value.term).Finish();
 }
 
-uint64_t HashEntity(const std::string &key, const WriterMark &value)
+uint64_t HashEntity(const std::string &key, const WriterProgress &value)
 {
-	return HashBytes('w').Add(key).Add(value.incarnation).Add(value.sequence).Add(value.last).Finish();
+	return EntityHasher('w').Add(key).Add(value.incarnation).Add(value.sequence).Add(value.last).Finish();
 }
 
 uint64_t HashEntity(const TeamName &key, const uint32_t &value)
 {
-	return HashBytes('t').Add(key).Add(uint64_t{value}).Finish();
+	return EntityHasher('t').Add(key).Add(uint64_t{value}).Finish();
 }
 
 uint64_t HashEntity(const JobName &key, const Job &value)
 {
-	HashBytes hash('j');
+	EntityHasher hash('j');
 	hash.Add(key).Add(value.team).Add(value.work_class).Add(uint64_t{value.units}).Add(uint64_t{value.repeatable});
 	hash.Add(value.state).Add(value.box).Add(value.box_epoch).Add(uint64_t{value.attempt}).Add(value.failed_on);
 	return hash.Add(value.accepted).Add(value.since).Finish();
@@ -128,24 +128,24 @@
 {
 	this->zone = in_zone;
 	this->rack = in_rack;
-	this->zone_key = HashBytes('Z').Add(in_zone).Finish();
-	this->rack_key = HashBytes('R').Add(in_zone).Add(in_rack).Finish();
+	this->zone_key = EntityHasher('Z').Add(in_zone).Finish();
+	this->rack_key = EntityHasher('R').Add(in_zone).Add(in_rack).Finish();
 }
 
 uint64_t FleetState::Hash() const
 {
-	return HashBytes('s')
-			.Add(this->entity_sum)
+	return EntityHasher('s')
+			.Add(this->entity_hash_sum)
 			.Add(uint64_t{this->rule_version})
 			.Add(this->table_version)
 			.Add(this->time)
 			.Finish();
 }
 
-uint64_t FleetState::SumAll() const
+uint64_t FleetState::SumEntityHashes() const
 {
-	return SumOf(this->cells) + SumOf(this->boxes) + SumOf(this->members) + SumOf(this->zones) + SumOf(this->planners) +
-		   SumOf(this->writers) + SumOf(this->teams) + SumOf(this->jobs);
+	return SumHashes(this->cells) + SumHashes(this->boxes) + SumHashes(this->members) + SumHashes(this->zones) +
+		   SumHashes(this->planners) + SumHashes(this->writers) + SumHashes(this->teams) + SumHashes(this->jobs);
 }
 
 uint64_t FleetState::RecomputeHash() const
@@ -154,24 +154,24 @@
 	copy.rule_version = this->rule_version;
 	copy.table_version = this->table_version;
 	copy.time = this->time;
-	copy.entity_sum = this->SumAll();
+	copy.entity_hash_sum = this->SumEntityHashes();
 	return copy.Hash();
 }
 
 void FleetState::Rebuild()
 {
-	this->entity_sum = this->SumAll();
+	this->entity_hash_sum = this->SumEntityHashes();
 	this->team_used.clear();
 	this->box_used.clear();
 	for (const auto &[name, job] : this->jobs) {
-		this->CountJob(job, 1);
+		this->AddJobUnits(job, 1);
 	}
 	this->rows = CompileRows(this->cells).rows;
 }
 
-void FleetState::CountJob(const Job &job, int sign)
+void FleetState::AddJobUnits(const Job &job, int sign)
 {
-	/* An attempt whose holder may only be paused still uses its box and its team's quota. */
+	/* The box of a job in JS_UNKNOWN may only be paused, so the attempt still uses its box and its team's quota. */
 	if (job.state != JobState::JS_PLACED && job.state != JobState::JS_UNKNOWN) {
 		return;
 	}
--- a/src/fleet/job_cmd.cpp
+++ b/src/fleet/job_cmd.cpp
@@ -5,23 +5,23 @@
 
 namespace {
 
-/** @return Value of a key in a derived map, 0 when it is not there. */
+/** @return Job units of a key in a map, 0 when the map does not have it. */
 template <class Key>
-uint32_t UsedOf(const std::map<Key, uint32_t> &map, const Key &key)
+uint32_t UnitsOf(const std::map<Key, uint32_t> &map, const Key &key)
 {
 	const auto it = map.find(key);
 	return it == map.end() ? 0 : it->second;
 }
 
 /**
- * Counts a failed job against the box that ran it.
+ * Records a failed job on the box that ran it, and sets the box aside when too many jobs have failed there.
  * @param fleet The state.
  * @param job The job.
  */
-void Strike(FleetState &fleet, const Job &job)
+void RecordStrike(FleetState &fleet, const Job &job)
 {
 	const auto old = fleet.boxes.find(job.box);
-	/* A parked job has failed on healthy boxes too: it says nothing about this one. */
+	/* A parked job has failed on healthy boxes too, so its failure says nothing about this one. */
 	if (old == fleet.boxes.end() || old->second.epoch != job.box_epoch || job.state == JobState::JS_PARKED) {
 		return;
 	}
@@ -53,8 +53,8 @@
 }
 
 /**
- * State of a job after a report.
- * @param job The job, its failures counted.
+ * Determines the state of a job after a report.
+ * @param job The job, with a failure already added to `failed_on`.
  * @param outcome How the attempt ended.
  * @return The next state.
  */
@@ -78,71 +78,71 @@
 
 } // namespace
 
-Result CmdTeamQuota(const CommandContext &context, FleetState &fleet, const glade::wire::TeamQuotaT &it)
+Result CmdTeamQuota(const CommandContext &context, FleetState &fleet, const glade::wire::TeamQuotaT &command)
 {
-	if (it.team.empty()) {
+	if (command.team.empty()) {
 		return {ResultCode::RC_MALFORMED, "team is needed"};
 	}
 	if (context.mode == CommandMode::CM_EXECUTE) {
-		fleet.Put(fleet.teams, TeamName(it.team), it.units);
+		fleet.Put(fleet.teams, TeamName(command.team), command.units);
 	}
 	return {};
 }
 
-Result CmdJobAccept(const CommandContext &context, FleetState &fleet, const glade::wire::JobAcceptT &it)
+Result CmdJobAccept(const CommandContext &context, FleetState &fleet, const glade::wire::JobAcceptT &command)
 {
-	if (it.job.empty() || it.units == 0 || it.work_class > static_cast<uint8_t>(WorkClass::WC_BATCH)) {
+	if (command.job.empty() || command.units == 0 || command.work_class > static_cast<uint8_t>(WorkClass::WC_BATCH)) {
 		return {ResultCode::RC_MALFORMED, "job name, class and at least one unit are needed"};
 	}
-	if (fleet.jobs.contains(JobName(it.job))) {
-		return {ResultCode::RC_JOB_EXISTS, it.job};
+	if (fleet.jobs.contains(JobName(command.job))) {
+		return {ResultCode::RC_JOB_EXISTS, command.job};
 	}
-	const auto quota = fleet.teams.find(TeamName(it.team));
-	if (quota == fleet.teams.end() || quota->second < it.units) {
-		return {ResultCode::RC_QUOTA, "team " + it.team + " could never run it"};
+	const auto quota = fleet.teams.find(TeamName(command.team));
+	if (quota == fleet.teams.end() || quota->second < command.units) {
+		return {ResultCode::RC_QUOTA, "team " + command.team + " could never run it"};
 	}
 	if (context.mode == CommandMode::CM_TEST) {
 		return {};
 	}
 	Job job;
-	job.name = JobName(it.job);
-	job.team = TeamName(it.team);
-	job.work_class = static_cast<WorkClass>(it.work_class);
-	job.units = it.units;
-	job.repeatable = it.repeatable;
+	job.name = JobName(command.job);
+	job.team = TeamName(command.team);
+	job.work_class = static_cast<WorkClass>(command.work_class);
+	job.units = command.units;
+	job.repeatable = command.repeatable;
 	job.accepted = fleet.time;
 	job.since = fleet.time;
 	fleet.Put(fleet.jobs, job.name, job);
 	return {};
 }
 
-Result CmdJobPlace(const CommandContext &context, FleetState &fleet, const glade::wire::JobPlaceT &it)
+Result CmdJobPlace(const CommandContext &context, FleetState &fleet, const glade::wire::JobPlaceT &command)
 {
 	if (Result term = CheckTerm(context, fleet); !term.Ok()) {
 		return term;
 	}
-	const auto old = fleet.jobs.find(JobName(it.job));
+	const auto old = fleet.jobs.find(JobName(command.job));
 	if (old == fleet.jobs.end()) {
-		return {ResultCode::RC_UNKNOWN_JOB, it.job};
+		return {ResultCode::RC_UNKNOWN_JOB, command.job};
 	}
 	Job job = old->second;
-	if (job.state != JobState::JS_WAITING || job.attempt + 1 != it.attempt) {
-		return {ResultCode::RC_JOB_STATE, it.job};
+	if (job.state != JobState::JS_WAITING || job.attempt + 1 != command.attempt) {
+		return {ResultCode::RC_JOB_STATE, command.job};
 	}
-	const auto box = fleet.boxes.find(BoxName(it.box));
+	const auto box = fleet.boxes.find(BoxName(command.box));
 	if (box == fleet.boxes.end()) {
-		return {ResultCode::RC_UNKNOWN_BOX, it.box};
+		return {ResultCode::RC_UNKNOWN_BOX, command.box};
 	}
-	if (box->second.epoch.Value() != it.box_epoch) {
-		return {ResultCode::RC_STALE_EPOCH, it.box};
+	if (box->second.epoch.Value() != command.box_epoch) {
+		return {ResultCode::RC_STALE_EPOCH, command.box};
 	}
 	if (!TakesWork(box->second)) {
-		return {ResultCode::RC_WRONG_STATE, it.box};
+		return {ResultCode::RC_WRONG_STATE, command.box};
 	}
-	if (UsedOf(fleet.box_used, box->first) + job.units > box->second.slots.Value()) {
-		return {ResultCode::RC_NO_ROOM, it.box};
+	if (UnitsOf(fleet.box_used, box->first) + job.units > box->second.slots.Value()) {
+		return {ResultCode::RC_NO_ROOM, command.box};
 	}
-	if (UsedOf(fleet.team_used, job.team) + job.units > UsedOf(fleet.teams, job.team)) {
+	if (UnitsOf(fleet.team_used, job.team) + job.units > UnitsOf(fleet.teams, job.team)) {
 		return {ResultCode::RC_QUOTA, "team " + job.team.Value()};
 	}
 	if (context.mode == CommandMode::CM_TEST) {
@@ -151,26 +151,26 @@
 	job.state = JobState::JS_PLACED;
 	job.box = box->first;
 	job.box_epoch = box->second.epoch;
-	job.attempt = it.attempt;
+	job.attempt = command.attempt;
 	job.since = fleet.time;
 	fleet.Put(fleet.jobs, job.name, job);
 	return {};
 }
 
-Result CmdJobReport(const CommandContext &context, FleetState &fleet, const glade::wire::JobReportT &it)
+Result CmdJobReport(const CommandContext &context, FleetState &fleet, const glade::wire::JobReportT &command)
 {
-	const auto old = fleet.jobs.find(JobName(it.job));
+	const auto old = fleet.jobs.find(JobName(command.job));
 	if (old == fleet.jobs.end()) {
-		return {ResultCode::RC_UNKNOWN_JOB, it.job};
+		return {ResultCode::RC_UNKNOWN_JOB, command.job};
 	}
 	Job job = old->second;
-	if (it.outcome > static_cast<uint8_t>(JobOutcome::JO_STOPPED)) {
-		return {ResultCode::RC_MALFORMED, "outcome " + std::to_string(it.outcome)};
+	if (command.outcome > static_cast<uint8_t>(JobOutcome::JO_STOPPED)) {
+		return {ResultCode::RC_MALFORMED, "outcome " + std::to_string(command.outcome)};
 	}
-	const auto outcome = static_cast<JobOutcome>(it.outcome);
-	const bool after_lapse = job.state == JobState::JS_UNKNOWN && outcome != JobOutcome::JO_LEASE_EXPIRED;
-	if ((job.state != JobState::JS_PLACED && !after_lapse) || job.attempt != it.attempt) {
-		return {ResultCode::RC_JOB_STATE, it.job};
+	const auto outcome = static_cast<JobOutcome>(command.outcome);
+	const bool after_expiry = job.state == JobState::JS_UNKNOWN && outcome != JobOutcome::JO_LEASE_EXPIRED;
+	if ((job.state != JobState::JS_PLACED && !after_expiry) || job.attempt != command.attempt) {
+		return {ResultCode::RC_JOB_STATE, command.job};
 	}
 	if (context.mode == CommandMode::CM_TEST) {
 		return {};
@@ -182,20 +182,20 @@
 	job.since = fleet.time;
 	fleet.Put(fleet.jobs, job.name, job);
 	if (outcome == JobOutcome::JO_FAILED) {
-		Strike(fleet, job);
+		RecordStrike(fleet, job);
 	} else if (outcome == JobOutcome::JO_DONE) {
 		ClearStrikes(fleet, job.box);
 	}
 	return {};
 }
 
-Result CmdJobCancel(const CommandContext &context, FleetState &fleet, const glade::wire::JobCancelT &it)
+Result CmdJobCancel(const CommandContext &context, FleetState &fleet, const glade::wire::JobCancelT &command)
 {
 	if (context.mode == CommandMode::CM_TEST) {
 		return {};
 	}
-	/* A wave of cancellations is one record; jobs that are over already are left as they are, so it is idempotent. */
-	for (const std::string &name : it.jobs) {
+	/* One record cancels many jobs. Finished jobs are skipped, so the command is idempotent. */
+	for (const std::string &name : command.jobs) {
 		const auto old = fleet.jobs.find(JobName(name));
 		if (old == fleet.jobs.end()) {
 			continue;
--- a/src/fleet/member_cmd.cpp
+++ b/src/fleet/member_cmd.cpp
@@ -1,4 +1,4 @@
-/** @file member_cmd.cpp Commands on the system's own processes: joining, leaving, planning terms. */
+/** @file member_cmd.cpp Commands on the system's own processes: joins, leaves, planning terms and rule versions. */
 #include "fleet_func.h"
 #include "fleet_hash.h"
 
@@ -8,11 +8,11 @@
 
 /**
  * @param fleet The state.
- * @param member A member whose lease is said to have lapsed.
- * @param witnesses Keepers that say so.
+ * @param member A member whose lease is reported as expired.
+ * @param witnesses Keepers that reported it.
  * @return Whether every other keeper of its zone is among them.
  */
-bool AllKeepersSaySo(const FleetState &fleet, const Member &member, const std::set<std::string> &witnesses)
+bool ConfirmedByAllKeepers(const FleetState &fleet, const Member &member, const std::set<std::string> &witnesses)
 {
 	return std::ranges::all_of(fleet.members, [&](const auto &it) {
 		const Member &other = it.second;
@@ -23,14 +23,14 @@
 }
 
 /**
- * A process speaks for itself; a keeper passes on what entries of its zone say.
- * @param context The writer.
+ * Checks that the writer may propose changes of a member: its own, or as a keeper those of members of its zone.
+ * @param context Context of the command, with the writer.
  * @param fleet The state.
- * @param member Who is spoken for.
- * @param zone Its zone.
- * @return Whether the writer may.
+ * @param member Name of the member.
+ * @param zone Zone of the member.
+ * @return Whether the writer may propose them.
  */
-bool MaySpeakFor(const CommandContext &context, const FleetState &fleet, const MemberName &member, const ZoneName &zone)
+bool MayActFor(const CommandContext &context, const FleetState &fleet, const MemberName &member, const ZoneName &zone)
 {
 	if (context.writer == member.Value()) {
 		return true;
@@ -40,9 +40,9 @@
 }
 
 /**
- * Counts a join or leave of an entry: who owns a key may have changed.
+ * Counts a join or leave of an entry, which may change the owners of keys. Ignores other members.
  * @param fleet The state.
- * @param member Who joined or left.
+ * @param member The member that joined or left.
  */
 void CountZoneChange(FleetState &fleet, const Member &member)
 {
@@ -58,68 +58,68 @@
 
 Result CheckTerm(const CommandContext &context, const FleetState &fleet)
 {
-	const auto seat = fleet.planners.find(context.region);
-	if (seat == fleet.planners.end() || seat->second.term != context.term ||
-		seat->second.member.Value() != context.writer) {
+	const auto planner = fleet.planners.find(context.region);
+	if (planner == fleet.planners.end() || planner->second.term != context.term ||
+		planner->second.member.Value() != context.writer) {
 		return {ResultCode::RC_STALE_TERM, "region " + context.region.Value()};
 	}
 	return {};
 }
 
-Result CmdMemberJoin(const CommandContext &context, FleetState &fleet, const glade::wire::MemberJoinT &it)
+Result CmdMemberJoin(const CommandContext &context, FleetState &fleet, const glade::wire::MemberJoinT &command)
 {
-	if (it.member.empty() || it.zone.empty() || it.role > static_cast<uint8_t>(MemberRole::MR_KEEPER)) {
+	if (command.member.empty() || command.zone.empty() || command.role > static_cast<uint8_t>(MemberRole::MR_KEEPER)) {
 		return {ResultCode::RC_MALFORMED, "member and zone are needed"};
 	}
-	if (!MaySpeakFor(context, fleet, MemberName(it.member), ZoneName(it.zone))) {
-		return {ResultCode::RC_UNKNOWN_MEMBER, context.writer + " may not speak for " + it.member};
+	if (!MayActFor(context, fleet, MemberName(command.member), ZoneName(command.zone))) {
+		return {ResultCode::RC_UNKNOWN_MEMBER, context.writer + " may not speak for " + command.member};
 	}
-	const auto old = fleet.members.find(MemberName(it.member));
-	if (old != fleet.members.end() && old->second.incarnation.Value() > it.incarnation) {
-		return {ResultCode::RC_FENCED, it.member};
+	const auto old = fleet.members.find(MemberName(command.member));
+	if (old != fleet.members.end() && old->second.incarnation.Value() > command.incarnation) {
+		return {ResultCode::RC_FENCED, command.member};
 	}
 	Member member;
-	member.name = MemberName(it.member);
-	member.role = static_cast<MemberRole>(it.role);
-	member.region = RegionName(it.region);
-	member.zone = ZoneName(it.zone);
-	member.address = it.address;
-	member.frames = it.frames;
-	member.incarnation = Incarnation(it.incarnation);
-	member.rules = it.rules;
-	const bool again = old != fleet.members.end() && old->second.incarnation == member.incarnation;
-	/* Joining again also takes back what was witnessed against the member: it lives. */
-	member.since = again ? old->second.since : fleet.time;
-	if (context.mode == CommandMode::CM_TEST || (again && old->second == member)) {
+	member.name = MemberName(command.member);
+	member.role = static_cast<MemberRole>(command.role);
+	member.region = RegionName(command.region);
+	member.zone = ZoneName(command.zone);
+	member.address = command.address;
+	member.frames = command.frames;
+	member.incarnation = Incarnation(command.incarnation);
+	member.rules = command.rules;
+	const bool rejoins = old != fleet.members.end() && old->second.incarnation == member.incarnation;
+	/* Joining again shows that the member is alive, so it also clears the reports of an expired lease. */
+	member.since = rejoins ? old->second.since : fleet.time;
+	if (context.mode == CommandMode::CM_TEST || (rejoins && old->second == member)) {
 		return {};
 	}
 	fleet.Put(fleet.members, member.name, member);
-	if (!again) {
+	if (!rejoins) {
 		CountZoneChange(fleet, member);
 	}
 	return {};
 }
 
-Result CmdMemberLeave(const CommandContext &context, FleetState &fleet, const glade::wire::MemberLeaveT &it)
+Result CmdMemberLeave(const CommandContext &context, FleetState &fleet, const glade::wire::MemberLeaveT &command)
 {
-	const auto old = fleet.members.find(MemberName(it.member));
-	if (old == fleet.members.end() || old->second.incarnation.Value() != it.incarnation) {
-		return {ResultCode::RC_UNKNOWN_MEMBER, it.member};
+	const auto old = fleet.members.find(MemberName(command.member));
+	if (old == fleet.members.end() || old->second.incarnation.Value() != command.incarnation) {
+		return {ResultCode::RC_UNKNOWN_MEMBER, command.member};
 	}
 	Member member = old->second;
-	const bool own_word = it.witness == it.member && MaySpeakFor(context, fleet, member.name, member.zone);
-	if (!own_word) {
-		const auto witness = fleet.members.find(MemberName(it.witness));
+	const bool self_reported = command.witness == command.member && MayActFor(context, fleet, member.name, member.zone);
+	if (!self_reported) {
+		const auto witness = fleet.members.find(MemberName(command.witness));
 		if (witness == fleet.members.end() || witness->second.role != MemberRole::MR_KEEPER ||
-			witness->second.zone != member.zone || it.witness != context.writer) {
-			return {ResultCode::RC_UNKNOWN_MEMBER, "witness " + it.witness};
+			witness->second.zone != member.zone || command.witness != context.writer) {
+			return {ResultCode::RC_UNKNOWN_MEMBER, "witness " + command.witness};
 		}
-		member.witnesses.insert(it.witness);
+		member.witnesses.insert(command.witness);
 	}
 	if (context.mode == CommandMode::CM_TEST) {
 		return {};
 	}
-	if (own_word || AllKeepersSaySo(fleet, member, member.witnesses)) {
+	if (self_reported || ConfirmedByAllKeepers(fleet, member, member.witnesses)) {
 		fleet.Drop(fleet.members, member.name);
 		CountZoneChange(fleet, member);
 	} else {
@@ -128,35 +128,35 @@
 	return {};
 }
 
-Result CmdPlannerTerm(const CommandContext &context, FleetState &fleet, const glade::wire::PlannerTermT &it)
+Result CmdPlannerTerm(const CommandContext &context, FleetState &fleet, const glade::wire::PlannerTermT &command)
 {
-	const RegionName region(it.region);
+	const RegionName region(command.region);
 	const auto old = fleet.planners.find(region);
 	const Term current = old == fleet.planners.end() ? Term() : old->second.term;
-	if (current.Value() != it.seen_term) {
-		return {ResultCode::RC_STALE_TERM, "region " + it.region + ", term " + std::to_string(current.Value())};
+	if (current.Value() != command.seen_term) {
+		return {ResultCode::RC_STALE_TERM, "region " + command.region + ", term " + std::to_string(current.Value())};
 	}
-	if (it.member != context.writer) {
+	if (command.member != context.writer) {
 		return {ResultCode::RC_MALFORMED, "a member takes a term for itself"};
 	}
 	if (context.mode == CommandMode::CM_EXECUTE) {
-		fleet.Put(fleet.planners, region, PlannerSeat{MemberName(it.member), Term(current.Value() + 1)});
+		fleet.Put(fleet.planners, region, PlannerAssignment{MemberName(command.member), Term(current.Value() + 1)});
 	}
 	return {};
 }
 
-Result CmdRuleAdvance(const CommandContext &context, FleetState &fleet, const glade::wire::RuleAdvanceT &it)
+Result CmdRuleAdvance(const CommandContext &context, FleetState &fleet, const glade::wire::RuleAdvanceT &command)
 {
-	if (it.version != fleet.rule_version + 1) {
-		return {ResultCode::RC_RULE_VERSION, std::to_string(it.version)};
+	if (command.version != fleet.rule_version + 1) {
+		return {ResultCode::RC_RULE_VERSION, std::to_string(command.version)};
 	}
-	const auto ignorant = [&](const auto &member) { return member.second.rules < it.version; };
-	const auto who = std::ranges::find_if(fleet.members, ignorant);
-	if (who != fleet.members.end()) {
-		return {ResultCode::RC_RULE_VERSION, who->first.Value() + " does not know them yet"};
+	const auto lacks_version = [&](const auto &member) { return member.second.rules < command.version; };
+	const auto outdated = std::ranges::find_if(fleet.members, lacks_version);
+	if (outdated != fleet.members.end()) {
+		return {ResultCode::RC_RULE_VERSION, outdated->first.Value() + " does not know them yet"};
 	}
 	if (context.mode == CommandMode::CM_EXECUTE) {
-		fleet.rule_version = it.version;
+		fleet.rule_version = command.version;
 	}
 	return {};
 }
--- a/src/fleet/snapshot_func.cpp
+++ b/src/fleet/snapshot_func.cpp
@@ -1,4 +1,4 @@
-/** @file snapshot_func.cpp Snapshots of the fold: packing, reading with migrations, chunks in the log. */
+/** @file snapshot_func.cpp Snapshots of the fleet's state: encoding, decoding of older formats, chunks in the log. */
 #include "snapshot_func.h"
 
 #include "fleet_hash.h"
@@ -9,13 +9,13 @@
 
 using namespace glade::wire;
 
-/** Set to vector, for the codec. */
+/** Converts a set to the vector that FlatBuffers encodes. */
 std::vector<std::string> ListOf(const std::set<std::string> &all)
 {
 	return {all.begin(), all.end()};
 }
 
-/** Vector to set, from the codec. */
+/** Converts a decoded vector to a set. */
 std::set<std::string> SetOf(const std::vector<std::string> &all)
 {
 	return {all.begin(), all.end()};
@@ -23,170 +23,170 @@
 
 std::unique_ptr<SnapBoxT> Pack(const Box &box)
 {
-	auto it = std::make_unique<SnapBoxT>();
-	it->box = box.name.Value();
-	it->zone = box.zone.Value();
-	it->rack = box.rack.Value();
-	it->address = box.address;
-	it->slots = box.slots.Value();
-	it->pool = box.pool.Value();
-	it->epoch = box.epoch.Value();
-	it->state = static_cast<uint8_t>(box.state);
-	it->health = static_cast<uint8_t>(box.health);
-	it->permit = box.permit.Value();
-	it->purpose = static_cast<uint8_t>(box.purpose);
-	it->urgent = box.urgent;
-	it->move_to = box.move_to.Value();
-	it->last_maintained = box.last_maintained.Value();
-	it->since = box.since.Value();
-	it->strikes = box.strikes;
-	it->strike_jobs = ListOf(box.strike_jobs);
-	it->registered = box.registered.Value();
-	it->health_since = box.health_since.Value();
-	it->confirmed = ListOf(box.confirmed);
-	return it;
+	auto packed = std::make_unique<SnapBoxT>();
+	packed->box = box.name.Value();
+	packed->zone = box.zone.Value();
+	packed->rack = box.rack.Value();
+	packed->address = box.address;
+	packed->slots = box.slots.Value();
+	packed->pool = box.pool.Value();
+	packed->epoch = box.epoch.Value();
+	packed->state = static_cast<uint8_t>(box.state);
+	packed->health = static_cast<uint8_t>(box.health);
+	packed->permit = box.permit.Value();
+	packed->purpose = static_cast<uint8_t>(box.purpose);
+	packed->urgent = box.urgent;
+	packed->move_to = box.move_to.Value();
+	packed->last_maintained = box.last_maintained.Value();
+	packed->since = box.since.Value();
+	packed->strikes = box.strikes;
+	packed->strike_jobs = ListOf(box.strike_jobs);
+	packed->registered = box.registered.Value();
+	packed->health_since = box.health_since.Value();
+	packed->confirmed = ListOf(box.confirmed);
+	return packed;
 }
 
-Box Unpack(const SnapBoxT &it)
+Box Unpack(const SnapBoxT &packed)
 {
 	Box box;
-	box.name = BoxName(it.box);
-	box.SetDomains(ZoneName(it.zone), RackName(it.rack));
-	box.address = it.address;
-	box.slots = Slots(it.slots);
-	box.pool = PoolName(it.pool);
-	box.epoch = BoxEpoch(it.epoch);
-	box.state = static_cast<BoxState>(it.state);
-	box.health = static_cast<BoxHealth>(it.health);
-	box.permit = PermitId(it.permit);
-	box.purpose = static_cast<PermitPurpose>(it.purpose);
-	box.urgent = it.urgent;
-	box.move_to = PoolName(it.move_to);
-	box.last_maintained = Millis(it.last_maintained);
-	box.since = Millis(it.since);
-	box.strikes = it.strikes;
-	box.strike_jobs = SetOf(it.strike_jobs);
-	box.registered = Millis(it.registered);
-	box.health_since = Millis(it.health_since);
-	box.confirmed = SetOf(it.confirmed);
+	box.name = BoxName(packed.box);
+	box.SetDomains(ZoneName(packed.zone), RackName(packed.rack));
+	box.address = packed.address;
+	box.slots = Slots(packed.slots);
+	box.pool = PoolName(packed.pool);
+	box.epoch = BoxEpoch(packed.epoch);
+	box.state = static_cast<BoxState>(packed.state);
+	box.health = static_cast<BoxHealth>(packed.health);
+	box.permit = PermitId(packed.permit);
+	box.purpose = static_cast<PermitPurpose>(packed.purpose);
+	box.urgent = packed.urgent;
+	box.move_to = PoolName(packed.move_to);
+	box.last_maintained = Millis(packed.last_maintained);
+	box.since = Millis(packed.since);
+	box.strikes = packed.strikes;
+	box.strike_jobs = SetOf(packed.strike_jobs);
+	box.registered = Millis(packed.registered);
+	box.health_since = Millis(packed.health_since);
+	box.confirmed = SetOf(packed.confirmed);
 	return box;
 }
 
 std::unique_ptr<SnapMemberT> Pack(const Member &member)
 {
-	auto it = std::make_unique<SnapMemberT>();
-	it->member = member.name.Value();
-	it->role = static_cast<uint8_t>(member.role);
-	it->region = member.region.Value();
-	it->zone = member.zone.Value();
-	it->address = member.address;
-	it->frames = member.frames;
-	it->incarnation = member.incarnation.Value();
-	it->since = member.since.Value();
-	it->rules = member.rules;
-	it->witnesses = ListOf(member.witnesses);
-	return it;
+	auto packed = std::make_unique<SnapMemberT>();
+	packed->member = member.name.Value();
+	packed->role = static_cast<uint8_t>(member.role);
+	packed->region = member.region.Value();
+	packed->zone = member.zone.Value();
+	packed->address = member.address;
+	packed->frames = member.frames;
+	packed->incarnation = member.incarnation.Value();
+	packed->since = member.since.Value();
+	packed->rules = member.rules;
+	packed->witnesses = ListOf(member.witnesses);
+	return packed;
 }
 
-Member Unpack(const SnapMemberT &it)
+Member Unpack(const SnapMemberT &packed)
 {
 	Member member;
-	member.name = MemberName(it.member);
-	member.role = static_cast<MemberRole>(it.role);
-	member.region = RegionName(it.region);
-	member.zone = ZoneName(it.zone);
-	member.address = it.address;
-	member.frames = it.frames;
-	member.incarnation = Incarnation(it.incarnation);
-	member.since = Millis(it.since);
-	member.rules = it.rules;
-	member.witnesses = SetOf(it.witnesses);
+	member.name = MemberName(packed.member);
+	member.role = static_cast<MemberRole>(packed.role);
+	member.region = RegionName(packed.region);
+	member.zone = ZoneName(packed.zone);
+	member.address = packed.address;
+	member.frames = packed.frames;
+	member.incarnation = Incarnation(packed.incarnation);
+	member.since = Millis(packed.since);
+	member.rules = packed.rules;
+	member.witnesses = SetOf(packed.witnesses);
 	return member;
 }
 
 std::unique_ptr<SnapJobT> Pack(const Job &job)
 {
-	auto it = std::make_unique<SnapJobT>();
-	it->job = job.name.Value();
-	it->team = job.team.Value();
-	it->work_class = static_cast<uint8_t>(job.work_class);
-	it->units = job.units;
-	it->repeatable = job.repeatable;
-	it->state = static_cast<uint8_t>(job.state);
-	it->box = job.box.Value();
-	it->box_epoch = job.box_epoch.Value();
-	it->attempt = job.attempt;
-	it->failed_on = ListOf(job.failed_on);
-	it->accepted = job.accepted.Value();
-	it->since = job.since.Value();
-	return it;
+	auto packed = std::make_unique<SnapJobT>();
+	packed->job = job.name.Value();
+	packed->team = job.team.Value();
+	packed->work_class = static_cast<uint8_t>(job.work_class);
+	packed->units = job.units;
+	packed->repeatable = job.repeatable;
+	packed->state = static_cast<uint8_t>(job.state);
+	packed->box = job.box.Value();
+	packed->box_epoch = job.box_epoch.Value();
+	packed->attempt = job.attempt;
+	packed->failed_on = ListOf(job.failed_on);
+	packed->accepted = job.accepted.Value();
+	packed->since = job.since.Value();
+	return packed;
 }
 
-Job Unpack(const SnapJobT &it)
+Job Unpack(const SnapJobT &packed)
 {
 	Job job;
-	job.name = JobName(it.job);
-	job.team = TeamName(it.team);
-	job.work_class = static_cast<WorkClass>(it.work_class);
-	job.units = it.units;
-	job.repeatable = it.repeatable;
-	job.state = static_cast<JobState>(it.state);
-	job.box = BoxName(it.box);
-	job.box_epoch = BoxEpoch(it.box_epoch);
-	job.attempt = it.attempt;
-	job.failed_on = SetOf(it.failed_on);
-	job.accepted = Millis(it.accepted);
-	job.since = Millis(it.since);
+	job.name = JobName(packed.job);
+	job.team = TeamName(packed.team);
+	job.work_class = static_cast<WorkClass>(packed.work_class);
+	job.units = packed.units;
+	job.repeatable = packed.repeatable;
+	job.state = static_cast<JobState>(packed.state);
+	job.box = BoxName(packed.box);
+	job.box_epoch = BoxEpoch(packed.box_epoch);
+	job.attempt = packed.attempt;
+	job.failed_on = SetOf(packed.failed_on);
+	job.accepted = Millis(packed.accepted);
+	job.since = Millis(packed.since);
 	return job;
 }
 
 /**
- * Packs the small maps: cells, planners, writers, teams.
+ * Packs cells, zones, planners, writers and teams.
  * @param fleet The state.
- * @param snap The snapshot.
+ * @param[out] snap The snapshot.
  */
 void PackSmallMaps(const FleetState &fleet, SnapshotT &snap)
 {
 	for (const auto &[key, cell] : fleet.cells) {
-		auto it = std::make_unique<SnapCellT>();
-		it->service = key.service.Value();
-		it->column = key.column;
-		it->value = cell.value;
-		it->version = cell.version.Value();
-		snap.cells.push_back(std::move(it));
+		auto packed = std::make_unique<SnapCellT>();
+		packed->service = key.service.Value();
+		packed->column = key.column;
+		packed->value = cell.value;
+		packed->version = cell.version.Value();
+		snap.cells.push_back(std::move(packed));
 	}
 	for (const auto &[zone, change] : fleet.zones) {
-		auto it = std::make_unique<SnapZoneT>();
-		it->zone = zone.Value();
-		it->changes = change.changes;
-		it->last = change.last.Value();
-		snap.zones.push_back(std::move(it));
+		auto packed = std::make_unique<SnapZoneT>();
+		packed->zone = zone.Value();
+		packed->changes = change.changes;
+		packed->last = change.last.Value();
+		snap.zones.push_back(std::move(packed));
 	}
-	for (const auto &[region, seat] : fleet.planners) {
-		auto it = std::make_unique<SnapTermT>();
-		it->region = region.Value();
-		it->member = seat.member.Value();
-		it->term = seat.term.Value();
-		snap.terms.push_back(std::move(it));
+	for (const auto &[region, planner] : fleet.planners) {
+		auto packed = std::make_unique<SnapTermT>();
+		packed->region = region.Value();
+		packed->member = planner.member.Value();
+		packed->term = planner.term.Value();
+		snap.terms.push_back(std::move(packed));
 	}
-	for (const auto &[writer, mark] : fleet.writers) {
-		auto it = std::make_unique<SnapWriterT>();
-		it->writer = writer;
-		it->incarnation = mark.incarnation.Value();
-		it->sequence = mark.sequence;
-		it->last = mark.last.Value();
-		snap.writers.push_back(std::move(it));
+	for (const auto &[writer, progress] : fleet.writers) {
+		auto packed = std::make_unique<SnapWriterT>();
+		packed->writer = writer;
+		packed->incarnation = progress.incarnation.Value();
+		packed->sequence = progress.sequence;
+		packed->last = progress.last.Value();
+		snap.writers.push_back(std::move(packed));
 	}
 	for (const auto &[team, units] : fleet.teams) {
-		auto it = std::make_unique<SnapTeamT>();
-		it->team = team.Value();
-		it->units = units;
-		snap.teams.push_back(std::move(it));
+		auto packed = std::make_unique<SnapTeamT>();
+		packed->team = team.Value();
+		packed->units = units;
+		snap.teams.push_back(std::move(packed));
 	}
 }
 
 /**
- * Fills a state from a snapshot of the newest format.
+ * Builds a state from a snapshot of the newest format.
  * @param snap The snapshot.
  * @return The state.
  */
@@ -210,10 +210,10 @@
 		fleet.zones[ZoneName(it->zone)] = ZoneChange{it->changes, Millis(it->last)};
 	}
 	for (const auto &it : snap.terms) {
-		fleet.planners[RegionName(it->region)] = PlannerSeat{MemberName(it->member), Term(it->term)};
+		fleet.planners[RegionName(it->region)] = PlannerAssignment{MemberName(it->member), Term(it->term)};
 	}
 	for (const auto &it : snap.writers) {
-		fleet.writers[it->writer] = WriterMark{Incarnation(it->incarnation), it->sequence, Millis(it->last)};
+		fleet.writers[it->writer] = WriterProgress{Incarnation(it->incarnation), it->sequence, Millis(it->last)};
 	}
 	for (const auto &it : snap.teams) {
 		fleet.teams[TeamName(it->team)] = it->units;
@@ -258,7 +258,7 @@
 		return std::nullopt;
 	}
 	const std::unique_ptr<SnapshotT> snap(flatbuffers::GetRoot<Snapshot>(data)->UnPack());
-	/* Format 1 is the first; a migration from format n to n + 1 goes here, one step each. */
+	/* Format 1 is the first. Migrations go here, each from a format to the next. */
 	if (snap->format == 0 || snap->format > SNAPSHOT_FORMAT) {
 		return std::nullopt;
 	}
--- a/src/fleet/table_func.cpp
+++ b/src/fleet/table_func.cpp
@@ -1,4 +1,4 @@
-/** @file table_func.cpp Reading, writing and compiling the operators' table. */
+/** @file table_func.cpp The operators' table: columns, CSV files, compilation of rows, checks, merging of edits. */
 #include "table_func.h"
 
 #include "fleet_hash.h"
@@ -32,7 +32,7 @@
 
 /**
  * @param name A name of a service or pool.
- * @return Whether it has only letters, digits, '-', '_' and '.'.
+ * @return Whether it is valid: 1 to NAME_LENGTH_MAX letters, digits, '-', '_' or '.'.
  */
 bool IsName(const std::string &name)
 {
@@ -45,9 +45,9 @@
 
 /**
  * @param text A cell's text.
- * @return The number, or nothing when it is none in range.
+ * @return The number; nothing when the text is no whole number from 0 to CELL_NUMBER_MAX.
  */
-std::optional<uint32_t> NumberOf(const std::string &text)
+std::optional<uint32_t> ParseNumber(const std::string &text)
 {
 	uint32_t n = 0;
 	const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), n);
@@ -58,12 +58,12 @@
 }
 
 /**
- * Finds the place of a word in a list of choices.
+ * Finds the index of a word in a list of choices.
  * @param text The cell's text.
  * @param words The choices, in the order of the enum.
- * @return The index, or nothing.
+ * @return The index; nothing when the word is not in the list.
  */
-std::optional<uint32_t> ChoiceOf(const std::string &text, std::initializer_list<const char *> words)
+std::optional<uint32_t> ParseChoice(const std::string &text, std::initializer_list<const char *> words)
 {
 	const auto it = std::ranges::find_if(words, [&](const char *word) { return text == word; });
 	if (it == words.end()) {
@@ -74,8 +74,8 @@
 
 /**
  * Sets one field of a row from a cell.
- * @param row The row.
- * @param column Its column.
+ * @param[out] row The row.
+ * @param column Name of the column.
  * @param text The cell's text.
  * @return Whether the text is valid for the column.
  */
@@ -87,16 +87,16 @@
 	}
 	std::optional<uint32_t> n;
 	if (column == "class") {
-		n = ChoiceOf(text, {"urgent", "normal", "batch"});
+		n = ParseChoice(text, {"urgent", "normal", "batch"});
 		row.work_class = static_cast<WorkClass>(n.value_or(0));
 	} else if (column == "guard") {
-		n = ChoiceOf(text, {"none", "box", "rack", "zone"});
+		n = ParseChoice(text, {"none", "box", "rack", "zone"});
 		row.guard = static_cast<Guard>(n.value_or(0));
 	} else if (column == "repeatable") {
-		n = ChoiceOf(text, {"no", "yes"});
+		n = ParseChoice(text, {"no", "yes"});
 		row.repeatable = n == 1U;
 	} else {
-		n = NumberOf(text);
+		n = ParseNumber(text);
 		const uint32_t value = n.value_or(0);
 		if (column == "weight") {
 			row.weight = value;
@@ -115,10 +115,10 @@
 
 /**
  * Compiles the row of a service.
- * @param service Its name.
+ * @param service Name of the service.
  * @param cells The table.
  * @param[out] row The row.
- * @return RC_OK or the cell that is wrong.
+ * @return RC_OK or the error, with the cell.
  */
 Result CompileRow(const ServiceName &service, const std::map<CellKey, Cell> &cells, ServiceRow &row)
 {
@@ -140,9 +140,9 @@
 }
 
 /**
- * Splits a CSV line. Quoting is not needed: names and values hold no comma.
+ * Splits a CSV line. There is no quoting, as names and values contain no commas.
  * @param line The line.
- * @return Fields without surrounding blanks.
+ * @return Fields without leading and trailing blanks.
  */
 std::vector<std::string> SplitLine(const std::string &line)
 {
@@ -157,7 +157,7 @@
 	return fields;
 }
 
-/** @return A table file that failed at a line. */
+/** @return Result of reading a table file that has an error in a line. */
 TableFile FileError(int line, const std::string &what)
 {
 	return {Result{ResultCode::RC_TABLE_FILE, "line " + std::to_string(line) + ": " + what}, {}};
@@ -165,7 +165,7 @@
 
 /**
  * @param name A column's name.
- * @return Whether the table has it.
+ * @return Whether the table has such a column.
  */
 bool IsColumn(const std::string &name)
 {
@@ -174,8 +174,8 @@
 
 /**
  * Checks the header line of a table file.
- * @param header Its fields.
- * @return What is wrong, empty when nothing.
+ * @param header Fields of the line.
+ * @return The error, empty for a valid header.
  */
 std::string HeaderError(const std::vector<std::string> &header)
 {
@@ -189,7 +189,7 @@
 			return "unknown column '" + name + "'";
 		}
 		if (!seen.insert(name).second) {
-			return "column '" + name + "' stands twice";
+			return "column '" + name + "' appears twice";
 		}
 	}
 	return "";
@@ -258,8 +258,10 @@
 		merged[it.key] = Cell{it.value, version};
 	}
 	for (const ServiceName &service : edit.removed) {
-		const auto later = [&](const auto &it) { return it.first.service == service && it.second.version > edit.base; };
-		const auto it = std::ranges::find_if(merged, later);
+		const auto is_later_cell = [&](const auto &it) {
+			return it.first.service == service && it.second.version > edit.base;
+		};
+		const auto it = std::ranges::find_if(merged, is_later_cell);
 		if (it != merged.end()) {
 			return {ResultCode::RC_CELL_CONFLICT,
 					"row " + service.Value() + " was changed by version " + std::to_string(it->second.version.Value())};
@@ -276,14 +278,14 @@
 	if (mode == CommandMode::CM_TEST) {
 		return {};
 	}
-	/* Put() and Drop() cell by cell, so that the state's hash follows. */
-	std::vector<CellKey> gone;
+	/* Changes go through Put() and Drop() cell by cell, which update the hash of the state. */
+	std::vector<CellKey> removed_keys;
 	for (const auto &[key, cell] : fleet.cells) {
 		if (!merged.contains(key)) {
-			gone.push_back(key);
+			removed_keys.push_back(key);
 		}
 	}
-	for (const CellKey &key : gone) {
+	for (const CellKey &key : removed_keys) {
 		fleet.Drop(fleet.cells, key);
 	}
 	for (const auto &[key, cell] : merged) {
@@ -311,8 +313,8 @@
 		}
 		if (header.empty()) {
 			header = fields;
-			if (const std::string wrong = HeaderError(header); !wrong.empty()) {
-				return FileError(n, wrong);
+			if (const std::string error = HeaderError(header); !error.empty()) {
+				return FileError(n, error);
 			}
 			continue;
 		}
@@ -321,7 +323,7 @@
 										std::to_string(fields.size()));
 		}
 		if (!services.insert(fields[0]).second) {
-			return FileError(n, "service '" + fields[0] + "' stands twice");
+			return FileError(n, "service '" + fields[0] + "' appears twice");
 		}
 		for (size_t i = 1; i < header.size(); i++) {
 			file.cells[CellKey{ServiceName(fields[0]), header[i]}] = i < fields.size() ? fields[i] : "";
--- a/src/fleet/table_func.h
+++ b/src/fleet/table_func.h
@@ -1,4 +1,4 @@
-/** @file table_func.h The operators' table: columns, reading a file, compiling rows, checks, merging. */
+/** @file table_func.h The operators' table: columns, CSV files, compilation of rows, checks, merging of edits. */
 #ifndef TABLE_FUNC_H
 #define TABLE_FUNC_H
 
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-/** A cell as an operator edits it. */
+/** An operator's edit of a cell. */
 struct CellEdit {
 	CellKey key;       ///< Row and column.
 	std::string value; ///< New text; empty restores the column's default.
@@ -16,33 +16,33 @@
 	auto operator<=>(const CellEdit &) const = default;
 };
 
-/** A publication: what changed against a version of the table. */
+/** An edit to publish: the changes against a version of the table. */
 struct TableEdit {
-	TableVersion base;                ///< Version that was edited.
+	TableVersion base;                ///< Version of the table that was edited.
 	std::vector<CellEdit> cells;      ///< Changed cells.
 	std::vector<ServiceName> removed; ///< Rows to remove.
 };
 
-/** Rows compiled from cells; `result` tells the first cell that is wrong. */
+/** Rows compiled from cells, or the first error. */
 struct CompiledTable {
-	Result result;                          ///< RC_OK or what is wrong, with row and column.
-	std::map<ServiceName, ServiceRow> rows; ///< The rows, complete only when `result` is RC_OK.
+	Result result;                          ///< RC_OK or the first error, with row and column.
+	std::map<ServiceName, ServiceRow> rows; ///< Rows by service; complete only when `result` is RC_OK.
 };
 
-/** A table file as read: its cells or the place of the error. */
+/** Cells read from a table file, or the first error. */
 struct TableFile {
-	Result result;                        ///< RC_OK, or line and what was expected.
+	Result result;                        ///< RC_OK, or the error with its line.
 	std::map<CellKey, std::string> cells; ///< All cells that the file sets.
 };
 
 /** One column of the table. */
 struct ColumnSpec {
-	const char *name;     ///< Header of the column.
+	const char *name;     ///< Name of the column in the header.
 	const char *fallback; ///< Value of an empty cell.
-	const char *expected; ///< What a valid value looks like, for messages and docs.
+	const char *expected; ///< Description of valid values, for messages and docs.
 };
 
-/** @return All columns, in their order on paper. */
+/** @return All columns in the order in which files are written. */
 std::span<const ColumnSpec> TableColumns();
 
 /**
@@ -53,39 +53,41 @@
 CompiledTable CompileRows(const std::map<CellKey, Cell> &cells);
 
 /**
- * Checks that the fleet can hold a table: the floors fit into the boxes there are.
+ * Checks that the floors of a table fit into the slots of all boxes.
  * @param rows Compiled rows.
- * @param boxes The boxes; a table published before any box is known is accepted.
+ * @param boxes All boxes; without any, every table is accepted, so that one can be published before the first box
+ * registers.
  * @return RC_OK or RC_FLOORS_OVER_CAPACITY.
  */
 Result CheckCapacity(const std::map<ServiceName, ServiceRow> &rows, const std::map<BoxName, Box> &boxes);
 
 /**
- * Applies an edit: merges with later versions cell by cell, refuses cells that both changed.
- * @param mode Check alone, or check and change.
+ * Applies an edit. Merges it cell by cell with publications after its base, and refuses it when both changed a cell
+ * to different values.
+ * @param mode Whether to check only, or to check and change.
  * @param fleet The state; changed only with CM_EXECUTE and RC_OK.
  * @param edit The edit.
  * @param version Version that the accepted publication gets.
- * @return RC_OK or the reason, naming row and column.
+ * @return RC_OK or the reason for the refusal, with row and column.
  */
 Result CmdPublishTable(CommandMode mode, FleetState &fleet, const TableEdit &edit, TableVersion version);
 
 /**
- * Reads a table from CSV text: a header line `service,pool,weight,…`, a line per service.
+ * Reads a table from CSV text: a header line `service,pool,weight,…`, then a line per service.
  * @param text The file's text.
- * @return Cells or the error with its line.
+ * @return Cells or the first error with its line.
  */
 TableFile ReadTableCsv(const std::string &text);
 
 /**
- * Writes cells as CSV, all columns.
+ * Writes cells as CSV text with all columns.
  * @param cells The table.
- * @return The text, rows sorted by service.
+ * @return CSV text, rows sorted by service.
  */
 std::string WriteTableCsv(const std::map<CellKey, Cell> &cells);
 
 /**
- * What changed from one table to a file.
+ * Computes the difference between the published table and a file.
  * @param cells The published table.
  * @param file Cells of the file.
  * @param base Version of the published table.
