--- a/src/log/log_service.h
+++ b/src/log/log_service.h
@@ -1,4 +1,4 @@
-/** @file log_service.h The platform's log behind one narrow interface. */
+/** @file log_service.h Interface to the platform's log. */
 #ifndef LOG_SERVICE_H
 #define LOG_SERVICE_H
 
@@ -9,36 +9,39 @@
 #include <string>
 #include <vector>
 
-/** Answer to an append. */
+/** Result of an append. */
 struct AppendAnswer {
 	ResultCode code = ResultCode::RC_OK; ///< RC_OK, RC_LOG_UNAVAILABLE, RC_LOG_THROTTLED or RC_LOG_ANSWER_LOST.
-	LogOffset offset;                    ///< Where the record stands, with RC_OK.
+	LogOffset offset;                    ///< Offset of the record when `code` is RC_OK.
 };
 
-/** Answer to a read. */
+/** Result of a read. */
 struct ReadAnswer {
 	ResultCode code = ResultCode::RC_OK; ///< RC_OK, RC_LOG_UNAVAILABLE or RC_LOG_FORGOTTEN.
-	std::vector<LogRecord> records;      ///< Records from the offset asked for, in order; may be empty.
-	LogOffset oldest;                    ///< Oldest record that the log still keeps.
-	LogOffset newest;                    ///< Newest record, 0 when there was never one.
+	std::vector<LogRecord> records;      ///< Records from the requested offset on, in order; may be empty.
+	LogOffset oldest;                    ///< Offset of the oldest record that the log keeps.
+	LogOffset newest;                    ///< Offset of the newest record, 0 when none was ever appended.
 };
 
-/** The platform's log. Answers come later, on the caller's thread; they may be lost after the effect. */
+/**
+ * The platform's log. Calls return at once; results arrive later on the caller's thread. The result of an append may
+ * be lost although the record was appended.
+ */
 class LogService {
 public:
 	virtual ~LogService() = default;
 
 	/**
 	 * Appends a record.
-	 * @param bytes The record.
-	 * @param done Gets the answer.
+	 * @param bytes Bytes of the record.
+	 * @param done Called with the result.
 	 */
 	virtual void Append(std::string bytes, std::function<void(AppendAnswer)> done) = 0;
 
 	/**
-	 * Reads on. An answer may wait a little for a record to come.
-	 * @param from First offset wanted.
-	 * @param done Gets the answer.
+	 * Reads records. The result may be delayed for a short time until there is a record.
+	 * @param from Offset of the first record to read.
+	 * @param done Called with the result.
 	 */
 	virtual void Read(LogOffset from, std::function<void(ReadAnswer)> done) = 0;
 };
--- a/src/log/log_tail.cpp
+++ b/src/log/log_tail.cpp
@@ -1,11 +1,11 @@
-/** @file log_tail.cpp Follows the platform's log: joins by snapshot or from the start, folds, survives outages. */
+/** @file log_tail.cpp Reads the platform's log from its start or a snapshot and applies it, with retries. */
 #include "log_tail.h"
 
 #include <algorithm>
 #include <utility>
 
-LogTail::LogTail(Scheduler &scheduler, LogService &log, OnRecord on_record, TailPace pace)
-		: scheduler(scheduler), log(log), on_record(std::move(on_record)), pace(pace),
+LogTail::LogTail(Scheduler &scheduler, LogService &log, OnRecord on_record, TailTimings timings)
+		: scheduler(scheduler), log(log), on_record(std::move(on_record)), timings(timings),
 		  alive(std::make_shared<bool>(true))
 {
 }
@@ -18,7 +18,7 @@
 
 void LogTail::Start()
 {
-	this->ReadOn();
+	this->ReadNext();
 }
 
 bool LogTail::Adopt(FleetState state)
@@ -30,36 +30,36 @@
 	this->next = LogOffset(this->fleet.offset.Value() + 1);
 	this->phase = TailPhase::TP_FOLLOWING;
 	this->on_record({});
-	this->ReadAfter(Millis(0));
+	this->ScheduleRead(Millis(0));
 	return true;
 }
 
-void LogTail::ReadAfter(Millis delay)
+void LogTail::ScheduleRead(Millis delay)
 {
-	this->round++;
+	this->read_id++;
 	this->scheduler.Cancel(this->timer);
-	this->timer = this->scheduler.After(delay, [this] { this->ReadOn(); });
+	this->timer = this->scheduler.After(delay, [this] { this->ReadNext(); });
 }
 
-void LogTail::ReadOn()
+void LogTail::ReadNext()
 {
-	this->round++;
+	this->read_id++;
 	this->scheduler.Cancel(this->timer);
-	this->timer = this->scheduler.After(this->pace.timeout, [this] { this->ReadOn(); });
-	this->log.Read(this->next, [this, still = this->alive, of_round = this->round](const ReadAnswer &answer) {
-		if (*still) {
-			this->OnAnswer(of_round, answer);
+	this->timer = this->scheduler.After(this->timings.timeout, [this] { this->ReadNext(); });
+	this->log.Read(this->next, [this, alive_flag = this->alive, answered_id = this->read_id](const ReadAnswer &answer) {
+		if (*alive_flag) {
+			this->OnAnswer(answered_id, answer);
 		}
 	});
 }
 
-void LogTail::OnAnswer(uint64_t of_round, const ReadAnswer &answer)
+void LogTail::OnAnswer(uint64_t answered_id, const ReadAnswer &answer)
 {
-	if (of_round != this->round || this->phase == TailPhase::TP_HALTED) {
+	if (answered_id != this->read_id || this->phase == TailPhase::TP_HALTED) {
 		return;
 	}
 	if (answer.code == ResultCode::RC_LOG_UNAVAILABLE) {
-		this->ReadAfter(this->pace.retry);
+		this->ScheduleRead(this->timings.retry);
 		return;
 	}
 	this->last_answer = this->scheduler.Now();
@@ -69,7 +69,7 @@
 		return;
 	}
 	for (const LogRecord &record : answer.records) {
-		this->Take(record);
+		this->HandleRecord(record);
 	}
 	if (!SupportsRules(this->fleet)) {
 		this->phase = TailPhase::TP_HALTED;
@@ -81,7 +81,7 @@
 		return;
 	}
 	this->caught_up = at_end;
-	this->ReadAfter(answer.records.empty() ? this->pace.poll : Millis(0));
+	this->ScheduleRead(answer.records.empty() ? this->timings.poll : Millis(0));
 }
 
 void LogTail::BeginJoin(const ReadAnswer &answer)
@@ -89,10 +89,10 @@
 	this->phase = TailPhase::TP_JOINING;
 	this->caught_up = false;
 	this->next = answer.oldest;
-	this->ReadAfter(Millis(0));
+	this->ScheduleRead(Millis(0));
 }
 
-void LogTail::Take(const LogRecord &record)
+void LogTail::HandleRecord(const LogRecord &record)
 {
 	if (record.offset < this->next) {
 		return;
@@ -107,11 +107,11 @@
 
 void LogTail::FinishJoin()
 {
-	const bool useful = this->collector.Newest() && this->collector.Base() > this->fleet.offset &&
+	const bool usable = this->collector.Newest() && this->collector.Base() > this->fleet.offset &&
 						this->collector.Base().Value() + 1 >= this->oldest.Value();
-	if (!useful) {
-		/* Nobody has written a snapshot that the log still continues: wait for one, or for a peer's state. */
-		this->ReadAfter(this->pace.retry);
+	if (!usable) {
+		/* The log has no complete snapshot followed by all later records: wait for one, or for the state of a peer. */
+		this->ScheduleRead(this->timings.retry);
 		return;
 	}
 	this->Adopt(*this->collector.Newest());
--- a/src/log/log_writer.h
+++ b/src/log/log_writer.h
@@ -1,4 +1,4 @@
-/** @file log_writer.h Group commit: gathers proposals, appends them in one record a tick, repeats lost answers. */
+/** @file log_writer.h Group commit: appends proposals in one record per tick, repeats appends with lost answers. */
 #ifndef LOG_WRITER_H
 #define LOG_WRITER_H
 
@@ -10,7 +10,7 @@
 #include <map>
 #include <memory>
 
-/** What goes first when the append budget is short. */
+/** Order in which proposals go into batches when the append rate is limited. */
 enum class WritePriority : uint8_t {
 	WP_CONFIG = 0, ///< Configuration, membership, terms.
 	WP_BOX = 1,    ///< Permits and steps of boxes.
@@ -18,27 +18,27 @@
 	WP_BULK = 3,   ///< Snapshots and statistics.
 };
 
-/** How a writer paces itself. */
-struct WriterPace {
-	Millis tick = Millis(50);        ///< Shortest time between two appends.
-	Millis retry = Millis(200);      ///< First wait after a failed append; doubles up to `retry_max`.
-	Millis retry_max = Millis(5000); ///< Longest wait after a failed append.
-	size_t batch_bytes = 64 * 1024;  ///< Largest batch, but for a single proposal that is larger.
-	size_t batch_proposals = 256;    ///< Most proposals in a batch.
+/** Intervals and batch limits of a writer. */
+struct WriterSettings {
+	Millis tick = Millis(50);        ///< Minimum interval between two appends.
+	Millis retry = Millis(200);      ///< First delay after a failed append; doubles up to `retry_max`.
+	Millis retry_max = Millis(5000); ///< Maximum delay after a failed append.
+	size_t batch_bytes = 64 * 1024;  ///< Maximum size of a batch; a single larger proposal is sent alone.
+	size_t batch_proposals = 256;    ///< Maximum number of proposals in a batch.
 };
 
 /** Counters of a writer. */
 struct WriterCounters {
 	uint64_t appends = 0;   ///< Appends sent.
-	uint64_t bytes = 0;     ///< Bytes in them.
-	uint64_t repeats = 0;   ///< Appends sent again after a lost answer or a failure.
+	uint64_t bytes = 0;     ///< Bytes in these appends.
+	uint64_t repeats = 0;   ///< Appends repeated after a lost answer or a failure.
 	uint64_t proposals = 0; ///< Proposals decided.
 };
 
 /**
- * Appends the proposals of one process. One append is in flight at a time, so its proposals take effect in order; an
- * append without an answer is sent again with the same ids until the fold has decided them, and the fold drops the
- * second. A proposal leaves the writer only when the fold has decided it.
+ * Appends the proposals of one process. Only one append is in flight at a time, so the proposals take effect in order.
+ * A batch is sent again with the same ids until all its proposals are decided; duplicates are recognised by their ids
+ * when records are applied. A proposal leaves the writer only when it is decided.
  */
 class LogWriter {
 public:
@@ -48,87 +48,88 @@
 	 * @param scheduler Clock and timers.
 	 * @param log The platform's log.
 	 * @param writer Name of this process.
-	 * @param incarnation Its start.
-	 * @param pace Ticks and sizes.
+	 * @param incarnation Incarnation of this process.
+	 * @param settings Intervals and batch limits.
 	 */
-	LogWriter(Scheduler &scheduler, LogService &log, std::string writer, Incarnation incarnation, WriterPace pace = {});
+	LogWriter(Scheduler &scheduler, LogService &log, std::string writer, Incarnation incarnation,
+			  WriterSettings settings = {});
 	~LogWriter();
 	LogWriter(const LogWriter &) = delete;
 	LogWriter &operator=(const LogWriter &) = delete;
 
 	/**
-	 * Takes a proposal in.
+	 * Queues a proposal.
 	 * @param proposal The proposal; the writer numbers it when it goes into a batch.
-	 * @param priority What goes first.
-	 * @param done Gets the fold's decision; may be empty.
-	 * @return Its id; the sequence is 0 until the proposal goes into a batch.
+	 * @param priority Priority of the proposal.
+	 * @param done Called with the decision; may be empty.
+	 * @return Id of the proposal; the sequence is 0 until it goes into a batch.
 	 */
 	std::shared_ptr<const ProposalId> Submit(std::unique_ptr<glade::wire::ProposalT> proposal, WritePriority priority,
 											 Done done = {});
 
 	/**
-	 * Takes a proposal back that has not gone into a batch yet.
-	 * @param id What Submit() returned.
-	 * @return Whether it was taken back: then it certainly takes no effect.
+	 * Removes a proposal that has not gone into a batch yet.
+	 * @param id Id returned by Submit().
+	 * @return Whether it was removed; it takes no effect then.
 	 */
 	bool Withdraw(const std::shared_ptr<const ProposalId> &id);
 
 	/**
-	 * Names the region and term under which this process plans; empty when it does not.
-	 * @param region The region.
+	 * Sets the region and term in which this process plans.
+	 * @param region The region, empty when this process does not plan.
 	 * @param term The term.
 	 */
 	void SetTerm(RegionName region, Term term);
 
 	/**
-	 * Tells the writer what the fold decided; every folded record is passed through here.
+	 * Handles the decisions of an applied record. To be called for every record.
 	 * @param decisions Decisions of a record; those of other writers are ignored.
 	 */
 	void OnDecisions(const std::vector<Decision> &decisions);
 
 	/**
-	 * @param version Rules under which the next batches are written.
+	 * @param version Rule version of the next batches.
 	 */
 	void SetRuleVersion(uint32_t version) { this->rule_version = version; }
 
-	/** @return Proposals not decided yet. */
+	/** @return Number of proposals not decided yet. */
 	[[nodiscard]] size_t Backlog() const;
 
 	/** @return Counters. */
 	[[nodiscard]] const WriterCounters &Counters() const { return this->counters; }
 
 private:
-	/** A proposal waiting for its turn. */
-	struct Waiting {
+	/** A proposal that has not gone into a batch yet. */
+	struct QueuedProposal {
 		std::unique_ptr<glade::wire::ProposalT> proposal; ///< The proposal.
-		Done done;                                        ///< Who wants to know.
-		std::shared_ptr<ProposalId> id;                   ///< Gets the sequence.
+		Done done;                                        ///< Called with the decision.
+		std::shared_ptr<ProposalId> id;                   ///< Id from Submit(); the batch sets its sequence.
 	};
 
-	Scheduler &scheduler;                                 ///< Clock and timers.
-	LogService &log;                                      ///< The platform's log.
-	std::string writer;                                   ///< Name of this process.
-	Incarnation incarnation;                              ///< Its start.
-	WriterPace pace;                                      ///< Ticks and sizes.
-	RegionName region;                                    ///< Region planned, if any.
-	Term term;                                            ///< Term of planning.
-	uint32_t rule_version = 1;                            ///< Rules of the next batches.
-	std::map<WritePriority, std::deque<Waiting>> waiting; ///< By priority.
-	std::map<uint64_t, Done> in_flight;                   ///< Proposals of the current batch, by sequence.
-	std::string batch;                                    ///< Bytes of the current batch.
-	uint64_t sequence = 0;                                ///< Last number given.
-	Millis last_append = Millis(-MS_PER_DAY);             ///< When the last append was sent.
-	Millis wait;                                          ///< Wait after the next failure.
-	TimerId timer;                                        ///< Next tick or retry.
-	uint64_t round = 0;                                   ///< Counts batches: answers of older ones are ignored.
-	std::shared_ptr<bool> alive;                          ///< False once this is gone.
-	WriterCounters counters;                              ///< Counters.
-
-	void Plan();
+	Scheduler &scheduler;                                       ///< Clock and timers.
+	LogService &log;                                            ///< The platform's log.
+	std::string writer;                                         ///< Name of this process.
+	Incarnation incarnation;                                    ///< Incarnation of this process.
+	WriterSettings settings;                                    ///< Intervals and batch limits.
+	RegionName region;                                          ///< Region that this process plans, empty for none.
+	Term term;                                                  ///< Term in which this process plans.
+	uint32_t rule_version = 1;                                  ///< Rule version of the next batches.
+	std::map<WritePriority, std::deque<QueuedProposal>> queues; ///< Proposals not in a batch yet, by priority.
+	std::map<uint64_t, Done> in_flight;                         ///< Undecided proposals of the batch, by sequence.
+	std::string batch;                                          ///< Bytes of the current batch.
+	uint64_t sequence = 0;                                      ///< Last sequence number assigned.
+	Millis last_append = Millis(-MS_PER_DAY);                   ///< Time of the last append.
+	Millis retry_delay;                                         ///< Delay after the next failure.
+	TimerId timer;                                              ///< Next tick or retry.
+	uint64_t batch_id = 0;       ///< Number of the batch; answers to earlier ones are ignored.
+	std::shared_ptr<bool> alive; ///< Set to false by the destructor, for callbacks that come later.
+	WriterCounters counters;     ///< Counters.
+
+	void ScheduleBatch();
 	void StartBatch();
-	void Fill(BatchT &it);
+	void FillBatch(BatchT &new_batch);
 	void Send();
-	void OnAnswer(uint64_t of_round, const AppendAnswer &answer);
+	void OnAnswer(uint64_t answered_id, const AppendAnswer &answer);
 	void Retry();
 };
 
--- a/src/log/memory_log.cpp
+++ b/src/log/memory_log.cpp
@@ -1,50 +1,50 @@
-/** @file memory_log.cpp An append-only log in memory, with retention, an append limit and fault switches. */
+/** @file memory_log.cpp An append-only log in memory with retention, an append rate limit and fault injection. */
 #include "memory_log.h"
 
 #include <algorithm>
 
 AppendAnswer LogStore::Append(std::string bytes, Millis now)
 {
-	const int64_t current = now.Value() / MS_PER_SECOND;
-	if (current != this->second) {
-		this->second = current;
-		this->taken = 0;
+	const int64_t now_second = now.Value() / MS_PER_SECOND;
+	if (now_second != this->limited_second) {
+		this->limited_second = now_second;
+		this->appends_in_second = 0;
 	}
-	if (this->taken >= this->limits.appends_per_second) {
+	if (this->appends_in_second >= this->limits.appends_per_second) {
 		return {ResultCode::RC_LOG_THROTTLED, LogOffset()};
 	}
-	this->taken++;
+	this->appends_in_second++;
 	this->last_stamp = std::max(this->last_stamp, now);
 	this->bytes_appended += bytes.size();
-	const LogOffset offset(this->first + this->records.size());
+	const LogOffset offset(this->first_offset + this->records.size());
 	this->records.push_back(LogRecord{offset, this->last_stamp, std::move(bytes)});
-	this->Retain(now);
+	this->RemoveExpired(now);
 	return {ResultCode::RC_OK, offset};
 }
 
 ReadAnswer LogStore::Read(LogOffset from, Millis now)
 {
-	this->Retain(now);
+	this->RemoveExpired(now);
 	ReadAnswer answer;
-	answer.oldest = LogOffset(this->first);
+	answer.oldest = LogOffset(this->first_offset);
 	answer.newest = this->Newest();
-	if (from.Value() < this->first) {
+	if (from.Value() < this->first_offset) {
 		answer.code = ResultCode::RC_LOG_FORGOTTEN;
 		return answer;
 	}
-	const size_t start = std::min<size_t>(from.Value() - this->first, this->records.size());
+	const size_t start = std::min<size_t>(from.Value() - this->first_offset, this->records.size());
 	const size_t count = std::min(this->records.size() - start, this->limits.read_records);
 	const auto begin = this->records.begin() + static_cast<std::ptrdiff_t>(start);
 	answer.records.assign(begin, begin + static_cast<std::ptrdiff_t>(count));
 	return answer;
 }
 
-void LogStore::Retain(Millis now)
+void LogStore::RemoveExpired(Millis now)
 {
 	while (!this->records.empty() &&
 		   (this->records.size() > this->limits.records || this->records.front().stamp + this->limits.age < now)) {
 		this->records.pop_front();
-		this->first++;
+		this->first_offset++;
 	}
 }
 
