--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-/** One run of the command. */
+/** Executes one command. */
 class Command {
 public:
 	explicit Command(const ParsedArguments &args) : args(args) {}
@@ -36,28 +36,28 @@
 			}
 			this->keepers.push_back(*address);
 		}
-		if (this->Is("table")) {
+		if (this->IsSet("table")) {
 			return this->RunTable();
 		}
-		if (this->Is("dump")) {
+		if (this->IsSet("dump")) {
 			return this->RunDump();
 		}
-		if (this->Is("ask")) {
+		if (this->IsSet("ask")) {
 			AskOutcomeT ask;
 			ask.id = this->Text("ID");
 			return this->CallForOutcome(MakeMessage(std::move(ask)));
 		}
-		if (this->Is("job") || this->Is("quota") || this->Is("box")) {
+		if (this->IsSet("job") || this->IsSet("quota") || this->IsSet("box")) {
 			return this->RunChange();
 		}
 		return this->RunTopic();
 	}
 
 private:
-	const ParsedArguments &args;     ///< The command line.
-	std::vector<NetAddress> keepers; ///< Keepers to ask.
+	const ParsedArguments &args;     ///< The parsed command line.
+	std::vector<NetAddress> keepers; ///< Addresses of the keepers, in order of preference.
 
-	[[nodiscard]] bool Is(const char *word) const
+	[[nodiscard]] bool IsSet(const char *word) const
 	{
 		const auto it = this->args.find(word);
 		return it != this->args.end() && it->second.isBool() && it->second.asBool();
@@ -88,25 +88,25 @@
 		return ExitCode::EC_FAILED;
 	}
 
-	std::unique_ptr<MessageUnion> Call(const MessageUnion &question) const
+	std::unique_ptr<MessageUnion> Call(const MessageUnion &query) const
 	{
-		const Millis wait(static_cast<int64_t>(this->Number("--wait").value_or(8)) * MS_PER_SECOND);
-		auto answer = CallKeeper(this->keepers, question, wait);
-		if (!answer) {
+		const Millis timeout(static_cast<int64_t>(this->Number("--wait").value_or(8)) * MS_PER_SECOND);
+		auto response = CallKeeper(this->keepers, query, timeout);
+		if (!response) {
 			std::cerr << Result{ResultCode::RC_PEER_UNAVAILABLE, "no keeper answered"}.Text() << '\n';
 		}
-		return answer;
+		return response;
 	}
 
-	ExitCode CallForOutcome(const MessageUnion &question) const
+	ExitCode CallForOutcome(const MessageUnion &query) const
 	{
-		const auto answer = this->Call(question);
-		if (!answer) {
+		const auto response = this->Call(query);
+		if (!response) {
 			return ExitCode::EC_ADDRESS;
 		}
-		const auto *outcome = answer->AsOutcome();
+		const auto *outcome = response->AsOutcome();
 		if (outcome == nullptr) {
-			return Fail({ResultCode::RC_MALFORMED, "unexpected answer"});
+			return Fail({ResultCode::RC_MALFORMED, "unexpected type of response"});
 		}
 		return this->ShowOutcome(*outcome);
 	}
@@ -114,7 +114,7 @@
 	ExitCode ShowOutcome(const OutcomeT &outcome) const
 	{
 		const Result result{static_cast<ResultCode>(outcome.code), outcome.message};
-		if (this->Is("--json")) {
+		if (this->IsSet("--json")) {
 			QJsonObject json;
 			json["id"] = QString::fromStdString(outcome.id);
 			json["code"] = static_cast<int>(outcome.code);
@@ -137,19 +137,19 @@
 
 	ExitCode RunTable()
 	{
-		if (this->Is("history")) {
+		if (this->IsSet("history")) {
 			return this->RunTopic();
 		}
-		const auto answer = this->Call(MakeMessage(TableRequestT()));
-		if (!answer || answer->AsTableReply() == nullptr) {
+		const auto response = this->Call(MakeMessage(TableRequestT()));
+		if (!response || response->AsTableReply() == nullptr) {
 			return ExitCode::EC_ADDRESS;
 		}
 		std::map<CellKey, Cell> cells;
-		for (const auto &cell : answer->AsTableReply()->cells) {
+		for (const auto &cell : response->AsTableReply()->cells) {
 			cells[CellKey{ServiceName(cell->service), cell->column}] = Cell{cell->value, TableVersion()};
 		}
-		const TableVersion version(answer->AsTableReply()->version);
-		if (this->Is("show")) {
+		const TableVersion version(response->AsTableReply()->version);
+		if (this->IsSet("show")) {
 			std::cout << "# version " << version.Value() << '\n' << WriteTableCsv(cells);
 			return ExitCode::EC_OK;
 		}
@@ -165,7 +165,7 @@
 		if (const std::optional<uint64_t> base = this->Number("--base"); base) {
 			edit.base = TableVersion(*base);
 		}
-		return this->Is("diff") ? ShowDiff(edit, cells) : this->Publish(edit);
+		return this->IsSet("diff") ? ShowDiff(edit, cells) : this->Publish(edit);
 	}
 
 	static ExitCode ShowDiff(const TableEdit &edit, const std::map<CellKey, Cell> &cells)
@@ -185,7 +185,7 @@
 	{
 		PublishRequestT publish;
 		publish.base_version = edit.base.Value();
-		publish.check_only = this->Is("check");
+		publish.check_only = this->IsSet("check");
 		for (const CellEdit &it : edit.cells) {
 			auto cell = std::make_unique<TableCellT>();
 			cell->service = it.key.service.Value();
@@ -213,7 +213,7 @@
 
 	ExitCode RunChange() const
 	{
-		if (this->Is("quota")) {
+		if (this->IsSet("quota")) {
 			const std::optional<uint64_t> units = this->Number("UNITS");
 			if (!units || *units > UINT32_MAX) {
 				return this->Usage("UNITS: expected a whole number");
@@ -223,10 +223,10 @@
 			quota.units = static_cast<uint32_t>(*units);
 			return this->Propose(std::move(quota));
 		}
-		if (this->Is("box")) {
+		if (this->IsSet("box")) {
 			return this->RunBox();
 		}
-		if (this->Is("cancel")) {
+		if (this->IsSet("cancel")) {
 			JobCancelT cancel;
 			cancel.jobs = this->args.at("NAME").asStringList();
 			return this->Propose(std::move(cancel));
@@ -241,7 +241,7 @@
 		const std::vector<std::string> words = {"urgent", "normal", "batch"};
 		const auto word = std::ranges::find(words, work_class);
 		if (!units || *units == 0 || *units > UINT32_MAX) {
-			return this->Usage("--units: expected a whole number over 0");
+			return this->Usage("--units: expected a whole number greater than 0");
 		}
 		if (word == words.end()) {
 			return this->Usage("--class: expected urgent, normal or batch");
@@ -251,7 +251,7 @@
 		job.team = this->Text("--team");
 		job.work_class = static_cast<uint8_t>(word - words.begin());
 		job.units = static_cast<uint32_t>(*units);
-		job.repeatable = !this->Is("--once");
+		job.repeatable = !this->IsSet("--once");
 		return this->Propose(std::move(job));
 	}
 
@@ -259,8 +259,8 @@
 	{
 		BoxStepT step;
 		step.box = this->Text("BOX");
-		step.step = static_cast<uint8_t>(this->Is("restore") ? BoxStepKind::BK_RESTORE : BoxStepKind::BK_WITHDRAW);
-		if (this->Is("withdraw")) {
+		step.step = static_cast<uint8_t>(this->IsSet("restore") ? BoxStepKind::BK_RESTORE : BoxStepKind::BK_WITHDRAW);
+		if (this->IsSet("withdraw")) {
 			const std::optional<QJsonArray> rows = this->Topic("explain", step.box);
 			if (!rows) {
 				return ExitCode::EC_ADDRESS;
@@ -275,11 +275,11 @@
 		DumpRequestT dump;
 		dump.topic = topic;
 		dump.name = name;
-		const auto answer = this->Call(MakeMessage(std::move(dump)));
-		if (!answer || answer->AsDumpReply() == nullptr) {
+		const auto response = this->Call(MakeMessage(std::move(dump)));
+		if (!response || response->AsDumpReply() == nullptr) {
 			return std::nullopt;
 		}
-		return QJsonDocument::fromJson(QByteArray::fromStdString(answer->AsDumpReply()->json)).array();
+		return QJsonDocument::fromJson(QByteArray::fromStdString(response->AsDumpReply()->json)).array();
 	}
 
 	ExitCode RunTopic() const
@@ -287,23 +287,23 @@
 		std::string topic;
 		for (const char *word :
 			 {"boxes", "pools", "waves", "budgets", "jobs", "members", "services", "history", "explain"}) {
-			topic = this->Is(word) ? word : topic;
+			topic = this->IsSet(word) ? word : topic;
 		}
 		std::string name;
-		if (this->Is("explain")) {
+		if (this->IsSet("explain")) {
 			name = this->args.at("NAME").asStringList().front();
 		}
 		const std::optional<QJsonArray> rows = this->Topic(topic, name);
 		if (!rows) {
 			return ExitCode::EC_ADDRESS;
 		}
-		if (this->Is("--json")) {
+		if (this->IsSet("--json")) {
 			std::cout << QJsonDocument(*rows).toJson(QJsonDocument::Compact).toStdString() << '\n';
 		} else {
 			std::cout << TableText(*rows);
 		}
 		const bool nothing = topic == "explain" && rows->isEmpty();
-		return nothing ? Fail({ResultCode::RC_UNKNOWN_BOX, "no box or service is called " + name}) : ExitCode::EC_OK;
+		return nothing ? Fail({ResultCode::RC_UNKNOWN_BOX, "no box or service is named " + name}) : ExitCode::EC_OK;
 	}
 
 	ExitCode RunDump() const
@@ -324,7 +324,7 @@
 			std::cerr << Result{ResultCode::RC_PEER_UNAVAILABLE, address->Text()}.Text() << '\n';
 			return ExitCode::EC_ADDRESS;
 		}
-		const auto form = this->Is("--json") ? QJsonDocument::Compact : QJsonDocument::Indented;
+		const auto form = this->IsSet("--json") ? QJsonDocument::Compact : QJsonDocument::Indented;
 		std::cout << json.toJson(form).toStdString() << '\n';
 		return ExitCode::EC_OK;
 	}
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -5,8 +5,8 @@
 #include "../program/program.h"
 
 /**
- * Runs what the command line asks for and prints the result.
- * @param args The command line.
+ * Runs the command given on the command line and prints its result.
+ * @param args The parsed command line.
  * @return Exit code.
  */
 ExitCode RunCommandLine(const ParsedArguments &args);
--- a/src/cli/keeper_call.cpp
+++ b/src/cli/keeper_call.cpp
@@ -1,27 +1,27 @@
-/** @file keeper_call.cpp One question to a keeper and its answer. */
+/** @file keeper_call.cpp Sends one query to a keeper and waits for its response. */
 #include "keeper_call.h"
 
 #include "../net/qt_scheduler.h"
 
 #include <QEventLoop>
 
-std::unique_ptr<MessageUnion> CallKeeper(const std::vector<NetAddress> &keepers, const MessageUnion &question,
-										 Millis wait)
+std::unique_ptr<MessageUnion> CallKeeper(const std::vector<NetAddress> &keepers, const MessageUnion &query,
+										 Millis timeout)
 {
 	QtScheduler scheduler;
 	FrameClient client(scheduler, keepers);
 	QEventLoop loop;
-	std::unique_ptr<MessageUnion> answer;
+	std::unique_ptr<MessageUnion> response;
 	bool sent = false;
 	client.on_connected = [&] {
-		/* Sent once: a second sending of the same question could publish twice. */
+		/* The query is sent once only: a repeated publication could be applied twice. */
 		if (!sent) {
 			sent = true;
-			client.Send(question);
+			client.Send(query);
 		}
 	};
 	client.on_message = [&](const MessageUnion &message) {
-		answer = std::make_unique<MessageUnion>(message);
+		response = std::make_unique<MessageUnion>(message);
 		loop.quit();
 	};
 	client.on_disconnected = [&] {
@@ -29,8 +29,8 @@
 			loop.quit();
 		}
 	};
-	scheduler.After(wait, [&] { loop.quit(); });
+	scheduler.After(timeout, [&] { loop.quit(); });
 	client.Start();
 	loop.exec();
-	return answer;
+	return response;
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp glade: the operators' command. */
+/** @file main.cpp glade: the command line tool of operators. */
 #include "commands.h"
 
 #include <QCoreApplication>
--- a/src/cli/table_text.cpp
+++ b/src/cli/table_text.cpp
@@ -1,4 +1,4 @@
-/** @file table_text.cpp Rows of JSON as a table for people. */
+/** @file table_text.cpp Formats JSON rows as a text table. */
 #include "table_text.h"
 
 #include <QJsonObject>
--- a/src/cli/table_text.h
+++ b/src/cli/table_text.h
@@ -1,4 +1,4 @@
-/** @file table_text.h Rows of JSON as a table for people. */
+/** @file table_text.h Formats JSON rows as a text table. */
 #ifndef TABLE_TEXT_H
 #define TABLE_TEXT_H
 
@@ -7,9 +7,9 @@
 #include <string>
 
 /**
- * Lays rows out in columns.
- * @param rows An array of objects; columns are the keys of the first.
- * @return The text, a line a row.
+ * Formats rows in aligned columns.
+ * @param rows An array of objects; the columns are the keys of all objects in order of appearance.
+ * @return The text: a header line and one line per row, or "(none)" when there are no rows.
  */
 std::string TableText(const QJsonArray &rows);
 
--- a/src/error.cpp
+++ b/src/error.cpp
@@ -10,8 +10,8 @@
 struct ResultRow {
 	ResultCode code;    ///< The code.
 	const char *symbol; ///< Its symbol.
-	const char *text;   ///< What it means.
-	int http;           ///< HTTP status towards callers, 0 for none.
+	const char *text;   ///< Description.
+	int http;           ///< HTTP status sent to callers, 0 for none.
 };
 
 constexpr std::array _rows = {
@@ -21,11 +21,11 @@
 };
 
 /**
- * Finds the row of a code.
- * @param code The number.
- * @return The row; that of RC_MALFORMED when there is none, so that a peer's newer code is still an error.
+ * Looks up the row of a result code.
+ * @param code Number of the result code.
+ * @return The row; for an unknown number the row of RC_MALFORMED, so that a code of a newer peer is still an error.
  */
-const ResultRow &RowOf(int code)
+const ResultRow &ResultRowOf(int code)
 {
 	const auto it = std::ranges::find(_rows, static_cast<ResultCode>(code), &ResultRow::code);
 	if (it != _rows.end()) {
@@ -34,11 +34,11 @@
 	return *std::ranges::find(_rows, ResultCode::RC_MALFORMED, &ResultRow::code);
 }
 
-/** The category behind make_error_code(). */
+/** Error category used by make_error_code(). */
 class GladeCategory : public std::error_category {
 public:
 	[[nodiscard]] const char *name() const noexcept override { return "glademount"; }
-	[[nodiscard]] std::string message(int code) const override { return RowOf(code).text; }
+	[[nodiscard]] std::string message(int code) const override { return ResultRowOf(code).text; }
 };
 
 } // namespace
@@ -56,18 +56,18 @@
 
 int HttpStatusOf(ResultCode rc)
 {
-	return RowOf(static_cast<int>(rc)).http;
+	return ResultRowOf(static_cast<int>(rc)).http;
 }
 
 const char *SymbolOf(ResultCode rc)
 {
-	return RowOf(static_cast<int>(rc)).symbol;
+	return ResultRowOf(static_cast<int>(rc)).symbol;
 }
 
 std::string Result::Text() const
 {
 	std::string text = std::to_string(static_cast<int>(this->code)) + " " + SymbolOf(this->code) + ": " +
-					   RowOf(static_cast<int>(this->code)).text;
+					   ResultRowOf(static_cast<int>(this->code)).text;
 	if (!this->detail.empty()) {
 		text += " (" + this->detail + ")";
 	}
--- a/src/error_type.h
+++ b/src/error_type.h
@@ -1,4 +1,4 @@
-/** @file error_type.h Numbered result codes of every module; docs/errors.md shows the same table. */
+/** @file error_type.h Numbered result codes of all modules; docs/errors.md has the same table. */
 #ifndef ERROR_TYPE_H
 #define ERROR_TYPE_H
 
@@ -7,8 +7,8 @@
 #include <system_error>
 
 /**
- * The one table of result codes: symbol, number, text, HTTP status towards callers (0: never sent to a caller).
- * 1xxx fold, 2xxx requests, 3xxx settings and command line, 4xxx platform and peers.
+ * The table of result codes: symbol, number, text, HTTP status sent to callers (0: never sent to a caller).
+ * 1xxx: replicated state; 2xxx: requests; 3xxx: settings and command line; 4xxx: platform and peers.
  */
 #define GLADE_RESULT_TABLE(X)                                                                                          \
 	X(OK, 0, "success", 200)                                                                                           \
@@ -77,7 +77,7 @@
 	X(OUTCOME_UNKNOWN, 4102, "outcome is not known yet; ask again with the id", 0)                                     \
 	X(STATE_MISMATCH, 4103, "state hash differs at the same offset", 0)
 
-/** Result of an operation. The numbers are stable: scripts and callers rely on them. */
+/** Result of an operation. The numbers must not change: scripts and callers depend on them. */
 enum class ResultCode : int {
 #define X(symbol, number, text, http) RC_##symbol = number,
 	GLADE_RESULT_TABLE(X)
@@ -88,37 +88,37 @@
 struct std::is_error_code_enum<ResultCode> : std::true_type {
 };
 
-/** @return The error category of all result codes. */
+/** @return The error category that contains all result codes. */
 const std::error_category &ResultCategory();
 
 /**
- * Wraps a result code, so that it travels as std::error_code.
+ * Converts a result code to std::error_code.
  * @param rc The result code.
- * @return The error code; false in a condition for RC_OK.
+ * @return The error code; converts to false for RC_OK.
  */
 std::error_code make_error_code(ResultCode rc);
 
 /**
  * @param rc A result code.
- * @return The HTTP status that tells a caller of it, 0 when it is never told to callers.
+ * @return The HTTP status sent to callers for this code, 0 when it is never sent to callers.
  */
 int HttpStatusOf(ResultCode rc);
 
 /**
  * @param rc A result code.
- * @return The symbol, as docs and logs show it.
+ * @return The symbol without the RC_ prefix, as documentation and logs show it.
  */
 const char *SymbolOf(ResultCode rc);
 
-/** A result code with the words that tell what exactly was wrong. */
+/** A result code with details of the failure. */
 struct Result {
-	ResultCode code = ResultCode::RC_OK; ///< What happened.
-	std::string detail;                  ///< Which cell, box or job, and what was expected; empty on success.
+	ResultCode code = ResultCode::RC_OK; ///< Result code.
+	std::string detail;                  ///< Affected cell, box or job, and the expected value; empty on success.
 
 	/** @return Whether the operation succeeded. */
 	[[nodiscard]] bool Ok() const { return this->code == ResultCode::RC_OK; }
 
-	/** @return One line for people: number, text, detail. */
+	/** @return One line of text: number, symbol, text, and the detail in parentheses when there is one. */
 	[[nodiscard]] std::string Text() const;
 };
 
--- a/src/event_log.h
+++ b/src/event_log.h
@@ -1,30 +1,30 @@
-/** @file event_log.h Where modules without transport write their decisions: one structured line each. */
+/** @file event_log.h Interface for structured log lines, for modules that don't depend on the logging library. */
 #ifndef EVENT_LOG_H
 #define EVENT_LOG_H
 
 #include <initializer_list>
 #include <string>
 
-/** One field of a line. */
+/** One field of a log line. */
 struct EventField {
 	const char *key;   ///< Name.
 	std::string value; ///< Value.
 };
 
-/** Takes lines; never blocks. */
+/** Receiver of log lines; never blocks. */
 class EventLog {
 public:
 	virtual ~EventLog() = default;
 
 	/**
-	 * Writes a line. Lines of one kind may be left out when there are too many; their number is told later.
-	 * @param event Kind of line.
-	 * @param fields Its fields: what was decided, and on which inputs.
+	 * Writes a line. Lines of one kind may be dropped when there are too many; their number is logged later.
+	 * @param event Name of the event; the kind of the line.
+	 * @param fields Fields of the line: the decision and its inputs.
 	 */
 	virtual void Write(const char *event, std::initializer_list<EventField> fields) = 0;
 };
 
-/** Drops all lines; for tests and benches. */
+/** Discards all lines; for tests and benchmarks. */
 class NullEventLog : public EventLog {
 public:
 	void Write(const char *, std::initializer_list<EventField>) override {}
--- a/src/keeper/entry_handler.cpp
+++ b/src/keeper/entry_handler.cpp
@@ -1,4 +1,4 @@
-/** @file entry_handler.cpp The keeper's side of its entries. */
+/** @file entry_handler.cpp Handles the entries of the keeper's zone. */
 #include "entry_handler.h"
 
 #include "view_func.h"
@@ -24,49 +24,49 @@
 	for (size_t i = 0; i < std::min(hello.drained_boxes.size(), hello.drained_permits.size()); i++) {
 		session.drained[BoxName(hello.drained_boxes[i])] = PermitId(hello.drained_permits[i]);
 	}
-	Heard &heard_now = this->heard[session.name];
-	if (heard_now.incarnation != session.incarnation) {
-		heard_now = Heard{session.incarnation, Millis(), false};
+	LastContact &contact = this->heard[session.name];
+	if (contact.incarnation != session.incarnation) {
+		contact = LastContact{session.incarnation, Millis(), false};
 	}
-	heard_now.at = this->core.scheduler.Now();
+	contact.at = this->core.scheduler.Now();
 	if (!this->core.tail.CaughtUp() && this->core.State().offset == LogOffset()) {
 		return;
 	}
 	const bool member = this->IsMember(session.name, session.incarnation);
 	if (hello.leaving) {
 		if (member) {
-			this->Leave(this->core.State().members.at(session.name), session.name);
+			this->ProposeLeave(this->core.State().members.at(session.name), session.name);
 		}
 		return;
 	}
-	if (!member || this->Witnessed(session.name)) {
-		this->Join(hello);
+	if (!member || this->HasWitnessedAgainst(session.name)) {
+		this->ProposeJoin(hello);
 		return;
 	}
-	/* A view without the entry's own joining could show a box as open that is being drained. */
+	/* Only members get a view: one built without the entry's join could show a box as open that is being drained. */
 	if (hello.view_version != this->version || hello.view_hash != this->view.hash) {
 		if (hello.view_version != session.sent.version) {
 			session.sent = ViewT();
 		}
-		this->Push(channel, session);
+		this->SendView(channel, session);
 	}
-	this->Lease(channel, hello);
+	this->GrantLease(channel, hello);
 }
 
-bool EntryHandler::Witnessed(const MemberName &name) const
+bool EntryHandler::HasWitnessedAgainst(const MemberName &name) const
 {
-	/* Said, or about to be said: no lease until the member has joined again. */
+	/* This keeper has proposed that the member leaves, decided or not: no lease until it has joined again. */
 	const auto it = this->core.State().members.find(name);
-	return this->lapsed.contains(name) ||
+	return this->pending_leaves.contains(name) ||
 		   (it != this->core.State().members.end() && it->second.witnesses.contains(this->core.self.name.Value()));
 }
 
 std::vector<std::string> EntryHandler::RecentlyHeardEntries() const
 {
 	std::vector<std::string> names;
-	const Millis lately = this->core.scheduler.Now() - this->core.times.lease;
+	const Millis heard_since = this->core.scheduler.Now() - this->core.times.lease;
 	for (const auto &[channel, session] : this->sessions) {
-		if (session.heard >= lately) {
+		if (session.heard >= heard_since) {
 			names.push_back(session.name.Value());
 		}
 	}
@@ -78,13 +78,13 @@
 	this->sessions.erase(&channel);
 }
 
-void EntryHandler::Join(const EntryHelloT &hello)
+void EntryHandler::ProposeJoin(const EntryHelloT &hello)
 {
-	Heard &it = this->heard[MemberName(hello.member)];
-	if (it.asked) {
+	LastContact &it = this->heard[MemberName(hello.member)];
+	if (it.proposal_pending) {
 		return;
 	}
-	it.asked = true;
+	it.proposal_pending = true;
 	MemberJoinT join;
 	join.member = hello.member;
 	join.incarnation = hello.incarnation;
@@ -96,33 +96,33 @@
 	join.rules = RULE_VERSION_NEWEST;
 	this->core.writer.Submit(
 			MakeProposal(std::move(join)), WritePriority::WP_CONFIG,
-			[this, name = MemberName(hello.member)](const Decision &) { this->heard[name].asked = false; });
+			[this, name = MemberName(hello.member)](const Decision &) { this->heard[name].proposal_pending = false; });
 }
 
-void EntryHandler::Leave(const Member &member, const MemberName &witness)
+void EntryHandler::ProposeLeave(const Member &member, const MemberName &witness)
 {
-	Heard &it = this->heard[member.name];
-	if (it.asked) {
+	LastContact &it = this->heard[member.name];
+	if (it.proposal_pending) {
 		return;
 	}
-	it.asked = true;
+	it.proposal_pending = true;
 	MemberLeaveT leave;
 	leave.member = member.name.Value();
 	leave.incarnation = member.incarnation.Value();
 	leave.witness = witness.Value();
 	this->core.writer.Submit(MakeProposal(std::move(leave)), WritePriority::WP_CONFIG,
 							 [this, name = member.name](const Decision &) {
-								 this->heard[name].asked = false;
-								 this->lapsed.erase(name); /* From here on the state says it. */
+								 this->heard[name].proposal_pending = false;
+								 this->pending_leaves.erase(name); /* The decision is in the state now. */
 							 });
 }
 
-void EntryHandler::Lease(EntryChannel &channel, const EntryHelloT &hello)
+void EntryHandler::GrantLease(EntryChannel &channel, const EntryHelloT &hello)
 {
 	if (hello.view_version != this->version || hello.view_hash != this->view.hash) {
 		return;
 	}
-	if (!this->Fresh()) {
+	if (!this->MayGrantLeases()) {
 		this->core.counters.leases_refused++;
 		return;
 	}
@@ -137,7 +137,7 @@
 	channel.Send(message);
 }
 
-void EntryHandler::Push(EntryChannel &channel, Session &session)
+void EntryHandler::SendView(EntryChannel &channel, Session &session)
 {
 	MessageUnion message;
 	if (session.sent.version == 0) {
@@ -160,7 +160,7 @@
 	this->view = std::move(next);
 	for (auto &[channel, session] : this->sessions) {
 		if (this->IsMember(session.name, session.incarnation)) {
-			this->Push(*channel, session);
+			this->SendView(*channel, session);
 		}
 	}
 }
@@ -168,14 +168,14 @@
 void EntryHandler::OnKeeperBeat(const KeeperBeatT &beat)
 {
 	const Millis now = this->core.scheduler.Now();
-	this->keepers[MemberName(beat.member)] = KeeperNews{now, LogOffset(beat.offset), Millis(beat.log_age_ms)};
+	this->keepers[MemberName(beat.member)] = PeerKeeperStatus{now, LogOffset(beat.offset), Millis(beat.log_age_ms)};
 	this->heard[MemberName(beat.member)].at = now;
 	for (const std::string &name : beat.heard) {
 		this->heard[MemberName(name)].at = now;
 	}
 }
 
-bool EntryHandler::Fresh() const
+bool EntryHandler::MayGrantLeases() const
 {
 	const Millis now = this->core.scheduler.Now();
 	if (this->core.tail.LastAnswer() + this->core.times.fresh > now) {
@@ -187,9 +187,9 @@
 			member.name == this->core.self.name) {
 			return true;
 		}
-		const auto news = this->keepers.find(member.name);
-		return news != this->keepers.end() && news->second.heard + this->core.times.fresh > now &&
-			   news->second.offset <= this->core.State().offset && news->second.log_age > this->core.times.fresh;
+		const auto peer = this->keepers.find(member.name);
+		return peer != this->keepers.end() && peer->second.heard + this->core.times.fresh > now &&
+			   peer->second.offset <= this->core.State().offset && peer->second.log_age > this->core.times.fresh;
 	});
 }
 
@@ -202,7 +202,7 @@
 		if (member.zone != this->core.self.zone || name == this->core.self.name) {
 			continue;
 		}
-		/* A keeper that has just started has heard nobody yet; it may not blame them. */
+		/* A keeper that has just started has received no messages yet: the silence counts from its start. */
 		const auto it = this->heard.find(name);
 		const Millis last = it == this->heard.end() ? this->started : std::max(it->second.at, this->started);
 		const bool witnessed = member.witnesses.contains(this->core.self.name.Value());
@@ -211,12 +211,12 @@
 		}
 	}
 	for (const Member &member : silent) {
-		this->lapsed.insert(member.name);
-		this->Leave(member, this->core.self.name);
+		this->pending_leaves.insert(member.name);
+		this->ProposeLeave(member, this->core.self.name);
 	}
 }
 
-std::map<BoxName, std::vector<MemberName>> EntryHandler::Drained() const
+std::map<BoxName, std::vector<MemberName>> EntryHandler::DrainConfirmations() const
 {
 	std::map<BoxName, std::vector<MemberName>> drained;
 	for (const auto &[channel, session] : this->sessions) {
--- a/src/keeper/entry_handler.h
+++ b/src/keeper/entry_handler.h
@@ -1,4 +1,4 @@
-/** @file entry_handler.h The keeper's side of its entries: membership, leases, views, drains, lapses. */
+/** @file entry_handler.h Handles a zone's entries: membership, leases, views, drains, unresponsive members. */
 #ifndef ENTRY_HANDLER_H
 #define ENTRY_HANDLER_H
 
@@ -8,7 +8,7 @@
 #include <functional>
 #include <map>
 
-/** An entry's connection, as the desk uses it. */
+/** Connection to an entry. */
 class EntryChannel {
 public:
 	virtual ~EntryChannel() = default;
@@ -20,11 +20,11 @@
 	virtual void Send(const glade::wire::MessageUnion &message) = 0;
 };
 
-/** What a keeper knows of the other keepers of its zone. */
-struct KeeperNews {
-	Millis heard;     ///< When it was last heard.
-	LogOffset offset; ///< How far it has read.
-	Millis log_age;   ///< How long ago the log answered it, when it said so.
+/** Last known status of another keeper of the zone. */
+struct PeerKeeperStatus {
+	Millis heard;     ///< When its last heartbeat arrived.
+	LogOffset offset; ///< Offset up to which it has read the log.
+	Millis log_age;   ///< Time since the log last answered it, as of the heartbeat.
 };
 
 /** Serves the entries of the keeper's zone. */
@@ -33,77 +33,78 @@
 	explicit EntryHandler(KeeperCore &core) : core(core), started(core.scheduler.Now()) {}
 
 	/**
-	 * An entry speaks.
-	 * @param channel Its connection.
-	 * @param hello What it says.
+	 * Handles a hello message of an entry.
+	 * @param channel Connection to the entry.
+	 * @param hello The message.
 	 */
 	void OnHello(EntryChannel &channel, const glade::wire::EntryHelloT &hello);
 
 	/**
-	 * A connection is gone.
+	 * Handles the loss of a connection to an entry.
 	 * @param channel The connection.
 	 */
 	void OnDown(EntryChannel &channel);
 
 	/**
-	 * A keeper of the zone speaks.
-	 * @param beat What it says.
+	 * Handles a heartbeat of another keeper of the zone.
+	 * @param beat The message.
 	 */
 	void OnKeeperBeat(const glade::wire::KeeperBeatT &beat);
 
-	/** Builds the view anew and sends it to entries that have an older one. Called after records and lists. */
+	/** Rebuilds the view and, when it changed, sends it to the entries. Called after log records and list updates. */
 	void Refresh();
 
-	/** Says of silent entries and keepers of the zone that their leases lapsed. Called every second or so. */
+	/** Proposes that unresponsive entries and keepers of the zone leave. Called about once a second. */
 	void ReportSilentMembers();
 
 	/**
-	 * Whether the state can be no older than `fresh`: the log answered, or every keeper of the zone is cut off from it
-	 * as well and has read no further. Who may own keys in this zone can then not have changed.
-	 * @return Whether leases may be given.
+	 * Whether the state is recent enough to grant leases: the log answered within `fresh`, or every other keeper of the
+	 * zone is cut off from the log as well and has not read further. In both cases key ownership in this zone can't
+	 * have changed.
+	 * @return Whether leases may be granted.
 	 */
-	[[nodiscard]] bool Fresh() const;
+	[[nodiscard]] bool MayGrantLeases() const;
 
-	/** @return Entries that confirmed the drain of each box, under the permit that the box holds now. */
-	[[nodiscard]] std::map<BoxName, std::vector<MemberName>> Drained() const;
+	/** @return For each box, the entries that confirmed its drain under the current permit of the box. */
+	[[nodiscard]] std::map<BoxName, std::vector<MemberName>> DrainConfirmations() const;
 
-	/** @return Names of the entries that speak to this keeper: other keepers need not blame them. */
+	/** @return Entries heard within the lease time; other keepers count them as responsive. */
 	[[nodiscard]] std::vector<std::string> RecentlyHeardEntries() const;
 
-	/** @return Entries connected now. */
-	[[nodiscard]] size_t Connected() const { return this->sessions.size(); }
+	/** @return Number of connected entries. */
+	[[nodiscard]] size_t ConnectedEntries() const { return this->sessions.size(); }
 
 private:
-	/** An entry's session. */
+	/** Session of a connected entry. */
 	struct Session {
-		MemberName name;                     ///< The entry.
-		Incarnation incarnation;             ///< Its start.
-		Millis heard;                        ///< When it last spoke.
-		glade::wire::ViewT sent;             ///< View that it was sent last.
-		std::map<BoxName, PermitId> drained; ///< Boxes that it confirmed as drained, under which permit.
+		MemberName name;                     ///< Name of the entry.
+		Incarnation incarnation;             ///< Incarnation of the entry.
+		Millis heard;                        ///< When its last hello message arrived.
+		glade::wire::ViewT sent;             ///< View last sent to it.
+		std::map<BoxName, PermitId> drained; ///< Boxes that it confirmed as drained, with their permits.
 	};
 
-	/** When a member was last heard, whichever its connection. */
-	struct Heard {
-		Incarnation incarnation; ///< Its start.
-		Millis at;               ///< When.
-		bool asked = false;      ///< Whether a join or leave was proposed and is not decided yet.
+	/** When a member was last heard, on any connection or through another keeper. */
+	struct LastContact {
+		Incarnation incarnation;       ///< Incarnation of the member.
+		Millis at;                     ///< Time of the last message.
+		bool proposal_pending = false; ///< Whether a proposed join or leave is undecided.
 	};
 
-	KeeperCore &core;                           ///< Shared parts.
-	Millis started;                             ///< When this keeper began to listen.
-	std::map<EntryChannel *, Session> sessions; ///< Entries connected.
-	std::map<MemberName, Heard> heard;          ///< Members of the zone.
-	std::map<MemberName, KeeperNews> keepers;   ///< Other keepers of the zone.
-	std::set<MemberName> lapsed;                ///< Members that this keeper witnesses against, not decided yet.
-	glade::wire::ViewT view;                    ///< Newest view.
-	uint64_t version = 0;                       ///< Its version.
-
-	void Join(const glade::wire::EntryHelloT &hello);
-	void Leave(const Member &member, const MemberName &witness);
-	void Lease(EntryChannel &channel, const glade::wire::EntryHelloT &hello);
-	void Push(EntryChannel &channel, Session &session);
-	[[nodiscard]] bool Witnessed(const MemberName &name) const;
+	KeeperCore &core;                               ///< Shared state of the keeper.
+	Millis started;                                 ///< When this keeper started.
+	std::map<EntryChannel *, Session> sessions;     ///< Sessions by connection.
+	std::map<MemberName, LastContact> heard;        ///< Last contact by member of the zone.
+	std::map<MemberName, PeerKeeperStatus> keepers; ///< Status of the other keepers of the zone.
+	std::set<MemberName> pending_leaves;            ///< Members that this keeper proposed to remove; not decided yet.
+	glade::wire::ViewT view;                        ///< Current view.
+	uint64_t version = 0;                           ///< Version of the current view.
+
+	void ProposeJoin(const glade::wire::EntryHelloT &hello);
+	void ProposeLeave(const Member &member, const MemberName &witness);
+	void GrantLease(EntryChannel &channel, const glade::wire::EntryHelloT &hello);
+	void SendView(EntryChannel &channel, Session &session);
+	[[nodiscard]] bool HasWitnessedAgainst(const MemberName &name) const;
 	[[nodiscard]] bool IsMember(const MemberName &name, Incarnation incarnation) const;
 };
 
--- a/src/keeper/keeper_core.cpp
+++ b/src/keeper/keeper_core.cpp
@@ -1,4 +1,4 @@
-/** @file keeper_core.cpp What the parts of a keeper share. */
+/** @file keeper_core.cpp State shared by the parts of a keeper. */
 #include "keeper_core.h"
 
 std::unique_ptr<glade::wire::ProposalT> MakeJoinProposal(const KeeperIdentity &self)
--- a/src/keeper/keeper_core.h
+++ b/src/keeper/keeper_core.h
@@ -1,4 +1,4 @@
-/** @file keeper_core.h What the parts of a keeper share: identity, log, writer, state, platform. */
+/** @file keeper_core.h State shared by the parts of a keeper: identity, log, writer, fleet state, list of boxes. */
 #ifndef KEEPER_CORE_H
 #define KEEPER_CORE_H
 
@@ -6,61 +6,61 @@
 #include "../log/log_writer.h"
 #include "../platform_type.h"
 
-/** Times of a keeper. */
+/** Time limits and intervals of a keeper. */
 struct KeeperTimes {
-	Millis lease = Millis(2000);           ///< Lease on the view of an entry.
-	Millis fresh = Millis(1500);           ///< The log must have answered within this time for a lease to be given.
-	Millis lapse = Millis(6000);           ///< Silence after which an entry or keeper has lapsed.
-	Millis plan_tick = Millis(500);        ///< Between two planning steps.
-	Millis list_tick = Millis(1000);       ///< Between two looks at the list of boxes.
-	Millis planner_silence = Millis(6000); ///< Silence after which a planner may be replaced.
-	Millis snapshot_age = Millis(6 * MS_PER_HOUR); ///< Age of the newest snapshot after which another is written.
-	uint64_t snapshot_records = 2000;              ///< Records after which a snapshot is written.
+	Millis lease = Millis(2000);           ///< Duration of an entry's lease on its view.
+	Millis fresh = Millis(1500);           ///< Leases are granted only when the log answered within this time.
+	Millis lapse = Millis(6000);           ///< Time without contact after which an entry or keeper is to be removed.
+	Millis plan_tick = Millis(500);        ///< Interval between planning steps.
+	Millis list_tick = Millis(1000);       ///< Interval between fetches of the list of boxes.
+	Millis planner_silence = Millis(6000); ///< A planner that wrote nothing for this time may be replaced.
+	Millis snapshot_age = Millis(6 * MS_PER_HOUR); ///< Age of the newest snapshot at which another is written.
+	uint64_t snapshot_records = 2000;              ///< Number of records after which a snapshot is written.
 };
 
-/** Who a keeper is. */
+/** Identity of a keeper. */
 struct KeeperIdentity {
-	MemberName name;         ///< Its name.
-	RegionName region;       ///< Its region.
-	ZoneName zone;           ///< Its zone.
-	std::string address;     ///< IP:port of its frames.
-	Incarnation incarnation; ///< Its start.
+	MemberName name;         ///< Name of the keeper.
+	RegionName region;       ///< Region of the keeper.
+	ZoneName zone;           ///< Availability zone that it serves.
+	std::string address;     ///< IP:port on which it accepts frame connections.
+	Incarnation incarnation; ///< Incarnation of the process.
 };
 
 /** Counters of a keeper. */
 struct KeeperCounters {
-	uint64_t accepted = 0;       ///< Proposals of all writers that the fold accepted.
-	uint64_t rejected = 0;       ///< Proposals that it rejected.
-	uint64_t plans = 0;          ///< Planning steps.
-	uint64_t plan_us = 0;        ///< Time spent in them.
-	uint64_t terms = 0;          ///< Planning terms taken.
+	uint64_t accepted = 0;       ///< Proposals of all writers that were accepted.
+	uint64_t rejected = 0;       ///< Proposals of all writers that were rejected.
+	uint64_t plans = 0;          ///< Planning steps run.
+	uint64_t plan_us = 0;        ///< Total time spent in planning steps, us.
+	uint64_t terms = 0;          ///< Planning terms acquired.
 	uint64_t snapshots = 0;      ///< Snapshots written.
-	uint64_t reboots = 0;        ///< Reboots ordered.
+	uint64_t reboots = 0;        ///< Reboot orders sent.
 	uint64_t views = 0;          ///< Views sent.
-	uint64_t view_bytes = 0;     ///< Bytes of frames sent and received.
-	uint64_t leases = 0;         ///< Leases given.
-	uint64_t leases_refused = 0; ///< Leases not given: the log is silent.
+	uint64_t frame_bytes = 0;    ///< Bytes of frames sent and received.
+	uint64_t leases = 0;         ///< Leases granted.
+	uint64_t leases_refused = 0; ///< Leases refused because the log did not answer.
 };
 
-/** What the parts of a keeper share. Lives on one thread. */
+/** State shared by the parts of a keeper. Used by one thread only. */
 struct KeeperCore {
-	KeeperIdentity self;                          ///< Who this keeper is.
-	KeeperTimes times;                            ///< Times.
+	KeeperIdentity self;                          ///< Identity of this keeper.
+	KeeperTimes times;                            ///< Time limits and intervals.
 	Scheduler &scheduler;                         ///< Clock and timers.
-	LogTail &tail;                                ///< The state.
-	LogWriter &writer;                            ///< Appends.
-	std::vector<ListedBox> list;                  ///< The platform's list, as last seen.
-	Millis list_fetched_at = Millis(-MS_PER_DAY); ///< When the list was last seen.
+	LogTail &tail;                                ///< Reads the log and applies it to the state.
+	LogWriter &writer;                            ///< Appends proposals to the log.
+	std::vector<ListedBox> list;                  ///< The platform's list of boxes, as last fetched.
+	Millis list_fetched_at = Millis(-MS_PER_DAY); ///< When the list was last fetched.
 	KeeperCounters counters;                      ///< Counters.
 
-	/** @return The state folded so far. */
+	/** @return The state with all records read so far applied. */
 	[[nodiscard]] const FleetState &State() const { return this->tail.State(); }
 };
 
 /**
- * The keeper's own joining. Joining again under the same start changes nothing, but moves the writer's mark, so that
- * everybody sees that the keeper lives.
- * @param self The keeper.
+ * Builds the proposal by which a keeper joins. A repeated join of the same incarnation changes no membership, but it
+ * advances the writer's sequence, which shows the other members that the keeper is alive.
+ * @param self Identity of the keeper.
  * @return The proposal.
  */
 std::unique_ptr<glade::wire::ProposalT> MakeJoinProposal(const KeeperIdentity &self);
--- a/src/keeper/keeper_dump.cpp
+++ b/src/keeper/keeper_dump.cpp
@@ -1,4 +1,4 @@
-/** @file keeper_dump.cpp A keeper's state as JSON, whole or by topic. */
+/** @file keeper_dump.cpp State of a keeper as JSON, complete or by topic. */
 #include "keeper_dump.h"
 
 #include "../fleet/budget_func.h"
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr std::array _state_words = {"serving", "draining", "empty", "rebooting", "verifying", "set_aside"};
-constexpr std::array _health_words = {"unknown", "up", "down", "leaving"};
-constexpr std::array _purpose_words = {"", "maintain", "move"};
-constexpr std::array _class_words = {"urgent", "normal", "batch"};
-constexpr std::array _job_words = {"waiting", "placed", "done", "unknown", "parked", "cancelled"};
-constexpr std::array _role_words = {"entry", "keeper"};
-constexpr std::array _phase_words = {"joining", "following", "halted"};
+constexpr std::array _state_names = {"serving", "draining", "empty", "rebooting", "verifying", "set_aside"};
+constexpr std::array _health_names = {"unknown", "up", "down", "leaving"};
+constexpr std::array _purpose_names = {"", "maintain", "move"};
+constexpr std::array _class_names = {"urgent", "normal", "batch"};
+constexpr std::array _job_state_names = {"waiting", "placed", "done", "unknown", "parked", "cancelled"};
+constexpr std::array _role_names = {"entry", "keeper"};
+constexpr std::array _phase_names = {"joining", "following", "halted"};
 
 template <size_t N, class Enum>
-QString WordOf(const std::array<const char *, N> &words, Enum value)
+QString NameOfValue(const std::array<const char *, N> &names, Enum value)
 {
-	return words.at(static_cast<size_t>(value));
+	return names.at(static_cast<size_t>(value));
 }
 
 QString Text(const std::string &text)
@@ -43,11 +43,11 @@
 	row["zone"] = Text(box.zone.Value());
 	row["rack"] = Text(box.rack.Value());
 	row["slots"] = Number(box.slots.Value());
-	row["state"] = WordOf(_state_words, box.state);
-	row["health"] = WordOf(_health_words, box.health);
+	row["state"] = NameOfValue(_state_names, box.state);
+	row["health"] = NameOfValue(_health_names, box.health);
 	row["epoch"] = Number(box.epoch.Value());
 	row["permit"] = Number(box.permit.Value());
-	row["purpose"] = WordOf(_purpose_words, box.purpose);
+	row["purpose"] = NameOfValue(_purpose_names, box.purpose);
 	row["move_to"] = Text(box.move_to.Value());
 	row["maintained_ms"] = Number(static_cast<uint64_t>(box.last_maintained.Value()));
 	row["strikes"] = Number(box.strikes);
@@ -117,8 +117,8 @@
 		QJsonObject row;
 		row["job"] = Text(name.Value());
 		row["team"] = Text(job.team.Value());
-		row["class"] = WordOf(_class_words, job.work_class);
-		row["state"] = WordOf(_job_words, job.state);
+		row["class"] = NameOfValue(_class_names, job.work_class);
+		row["state"] = NameOfValue(_job_state_names, job.state);
 		row["box"] = Text(job.box.Value());
 		row["attempt"] = Number(job.attempt);
 		row["units"] = Number(job.units);
@@ -134,7 +134,7 @@
 	for (const auto &[name, member] : core.State().members) {
 		QJsonObject row;
 		row["member"] = Text(name.Value());
-		row["role"] = WordOf(_role_words, member.role);
+		row["role"] = NameOfValue(_role_names, member.role);
 		row["region"] = Text(member.region.Value());
 		row["zone"] = Text(member.zone.Value());
 		row["address"] = Text(member.address);
@@ -148,7 +148,7 @@
 QJsonArray History(const OperatorHandler &operators)
 {
 	QJsonArray rows;
-	for (const Decision &it : operators.Recent()) {
+	for (const Decision &it : operators.RecentDecisions()) {
 		QJsonObject row;
 		row["offset"] = Number(it.offset.Value());
 		row["id"] = Text(it.id.Text());
@@ -168,21 +168,21 @@
 		row["weight"] = Number(it.weight);
 		row["floor"] = Number(it.floor.Value());
 		row["ceiling"] = Number(it.ceiling.Value());
-		row["class"] = WordOf(_class_words, it.work_class);
+		row["class"] = NameOfValue(_class_names, it.work_class);
 		rows.append(row);
 	}
 	return rows;
 }
 
-/** Why a box or service is as it is: its row, its budget, and the record that decided it. */
+/** Explains the state of a box or service: its row, its budget and the offset of the record that decided it. */
 QJsonArray Explain(const KeeperCore &core, const std::string &name)
 {
 	QJsonArray rows;
 	if (const auto box = core.State().boxes.find(BoxName(name)); box != core.State().boxes.end()) {
 		QJsonObject row = BoxRow(box->second);
-		constexpr uint64_t PERMITS_A_RECORD = 65536;
+		constexpr uint64_t PERMITS_PER_RECORD = 65536;
 		const uint64_t permit = box->second.permit.Value();
-		row["granted_by_offset"] = Number(permit / PERMITS_A_RECORD);
+		row["granted_by_offset"] = Number(permit / PERMITS_PER_RECORD);
 		row["state_since_ms"] = Number(static_cast<uint64_t>(box->second.since.Value()));
 		const Result budget = CheckBudget(PoolModelOf(core.State(), box->second.pool), box->second, false);
 		row["may_go_down"] = budget.Ok() ? QString("yes") : Text(budget.Text());
@@ -208,8 +208,8 @@
 
 } // namespace
 
-std::string KeeperTopic(const KeeperCore &core, const OperatorHandler &operators, const std::string &topic,
-						const std::string &name)
+std::string DumpTopic(const KeeperCore &core, const OperatorHandler &operators, const std::string &topic,
+					  const std::string &name)
 {
 	const std::map<std::string, std::function<QJsonArray()>> topics = {
 			{"boxes", [&] { return Boxes(core); }},
@@ -238,7 +238,7 @@
 	dump["hash"] = HexOf(fleet.Hash());
 	dump["table_version"] = Number(fleet.table_version.Value());
 	dump["rule_version"] = Number(fleet.rule_version);
-	dump["phase"] = WordOf(_phase_words, core.tail.Phase());
+	dump["phase"] = NameOfValue(_phase_names, core.tail.Phase());
 	dump["caught_up"] = core.tail.CaughtUp();
 	dump["snapshot_base"] = Number(core.tail.SnapshotBase().Value());
 	dump["plans"] = plans;
@@ -257,7 +257,7 @@
 	numbers["snapshots"] = Number(counters.snapshots);
 	numbers["reboots"] = Number(counters.reboots);
 	numbers["views"] = Number(counters.views);
-	numbers["frame_bytes"] = Number(counters.view_bytes);
+	numbers["frame_bytes"] = Number(counters.frame_bytes);
 	numbers["leases"] = Number(counters.leases);
 	numbers["leases_refused"] = Number(counters.leases_refused);
 	numbers["appends"] = Number(core.writer.Counters().appends);
--- a/src/keeper/keeper_server.cpp
+++ b/src/keeper/keeper_server.cpp
@@ -1,4 +1,4 @@
-/** @file keeper_server.cpp The keeper: reads the log, serves its zone, plans its region, answers operators. */
+/** @file keeper_server.cpp The keeper process: reads the log, serves its zone, plans its region, answers operators. */
 #include "keeper_server.h"
 
 #include "../fleet/snapshot_func.h"
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr Millis SECOND_TICK(1000); ///< Lapses, snapshots.
-constexpr Millis BEAT_TICK(500);    ///< Beats to other keepers.
+constexpr Millis CHECK_INTERVAL(1000);    ///< Interval between checks for unresponsive members and due snapshots.
+constexpr Millis HEARTBEAT_INTERVAL(500); ///< Interval between heartbeats to other keepers.
 
 KeeperIdentity IdentityOf(const Settings &settings, Millis wall_now)
 {
@@ -94,14 +94,14 @@
 	this->FetchList();
 	this->FetchJobEnds();
 	this->PlanTick();
-	this->SecondTick();
-	this->BeatTick();
+	this->CheckTick();
+	this->HeartbeatTick();
 	return true;
 }
 
 void KeeperServer::Stop(std::function<void()> done)
 {
-	/* Entries go to another keeper when the connections end; a planner's silence lets another take the term. */
+	/* Entries connect to another keeper when the connections close; another keeper takes the planning term. */
 	MemberLeaveT leave;
 	leave.member = this->core.self.name.Value();
 	leave.incarnation = this->core.self.incarnation.Value();
@@ -133,19 +133,20 @@
 
 void KeeperServer::JoinSelf()
 {
-	if (this->joined_asked || !this->tail.CaughtUp() || this->SelfIsMember()) {
+	if (this->join_pending || !this->tail.CaughtUp() || this->SelfIsMember()) {
 		return;
 	}
-	this->joined_asked = true;
+	this->join_pending = true;
 	this->writer.Submit(MakeJoinProposal(this->core.self), WritePriority::WP_CONFIG,
-						[this](const Decision &) { this->joined_asked = false; });
+						[this](const Decision &) { this->join_pending = false; });
 }
 
 void KeeperServer::OnFrame(FrameLink &link, const MessageUnion &message)
 {
 	const auto reply = [this, to = &link](const MessageUnion &answer) {
-		const auto still = std::ranges::any_of(this->frames.Links(), [&](const auto &it) { return it.get() == to; });
-		if (still) {
+		const auto connected =
+				std::ranges::any_of(this->frames.Links(), [&](const auto &it) { return it.get() == to; });
+		if (connected) {
 			to->Send(answer);
 		}
 	};
@@ -164,12 +165,12 @@
 	} else if (const auto *ask = message.AsAskOutcome(); ask != nullptr) {
 		this->operators.OnAskOutcome(*ask, reply);
 	} else if (message.type == Message::TableRequest) {
-		this->operators.OnTable(reply);
+		this->operators.OnTableRequest(reply);
 	} else if (const auto *state = message.AsStateRequest(); state != nullptr) {
 		this->SendState(link, state->above_offset);
 	} else if (const auto *dump = message.AsDumpRequest(); dump != nullptr) {
 		DumpReplyT answer;
-		answer.json = KeeperTopic(this->core, this->operators, dump->topic, dump->name);
+		answer.json = DumpTopic(this->core, this->operators, dump->topic, dump->name);
 		reply(MakeMessage(std::move(answer)));
 	}
 }
@@ -204,9 +205,9 @@
 	}
 }
 
-void KeeperServer::AskPeersForState()
+void KeeperServer::RequestStateFromPeers()
 {
-	/* Only while the log can't tell: silent, or without a snapshot that continues into what it keeps. */
+	/* Needed only while the log doesn't answer or has no snapshot that its retained records continue. */
 	const bool silent = this->tail.LastAnswer() + this->core.times.fresh < this->scheduler.Now();
 	if (!silent && this->tail.Phase() != TailPhase::TP_JOINING) {
 		return;
@@ -234,16 +235,18 @@
 
 void KeeperServer::FetchJobEnds()
 {
-	const auto again = [this] { this->scheduler.After(this->core.times.plan_tick, [this] { this->FetchJobEnds(); }); };
+	const auto schedule_next = [this] {
+		this->scheduler.After(this->core.times.plan_tick, [this] { this->FetchJobEnds(); });
+	};
 	if (!this->planner.HoldsTerm()) {
-		again();
+		schedule_next();
 		return;
 	}
-	this->platform.FetchJobEnds([this, again](ResultCode code, const std::vector<JobEnd> &ends) {
+	this->platform.FetchJobEnds([this, schedule_next](ResultCode code, const std::vector<JobEnd> &ends) {
 		if (code == ResultCode::RC_OK) {
 			this->planner.OnJobEnds(ends);
 		}
-		again();
+		schedule_next();
 	});
 }
 
@@ -253,25 +256,25 @@
 	if (this->SelfIsMember()) {
 		this->planner.Tick();
 	}
-	if (this->planner.HoldsTerm() != this->held) {
-		this->held = !this->held;
-		LogEvent(LogLevel::LL_INFO, !this->held ? "term_lost" : "term_taken",
+	if (this->planner.HoldsTerm() != this->was_planning) {
+		this->was_planning = !this->was_planning;
+		LogEvent(LogLevel::LL_INFO, !this->was_planning ? "term_lost" : "term_taken",
 				 {{"region", this->core.self.region.Value()}});
 	}
 	this->scheduler.After(this->core.times.plan_tick, [this] { this->PlanTick(); });
 }
 
-void KeeperServer::SecondTick()
+void KeeperServer::CheckTick()
 {
 	if (this->tail.CaughtUp() && this->SelfIsMember()) {
 		this->entries.ReportSilentMembers();
 		this->snapshots.Tick(this->planner.HoldsTerm());
 	}
-	this->AskPeersForState();
-	this->scheduler.After(SECOND_TICK, [this] { this->SecondTick(); });
+	this->RequestStateFromPeers();
+	this->scheduler.After(CHECK_INTERVAL, [this] { this->CheckTick(); });
 }
 
-void KeeperServer::BeatTick()
+void KeeperServer::HeartbeatTick()
 {
 	KeeperBeatT beat;
 	beat.member = this->core.self.name.Value();
@@ -282,18 +285,18 @@
 	beat.log_age_ms = static_cast<uint32_t>(std::min(age, Millis(MS_PER_DAY)).Value());
 	const MessageUnion message = MakeMessage(std::move(beat));
 	std::ranges::for_each(this->peers, [&](const auto &it) { it->Send(message); });
-	this->scheduler.After(BEAT_TICK, [this] { this->BeatTick(); });
+	this->scheduler.After(HEARTBEAT_INTERVAL, [this] { this->HeartbeatTick(); });
 }
 
 QJsonObject KeeperServer::Dump() const
 {
 	KeeperCounters counters = this->core.counters;
-	counters.view_bytes = this->frames.Bytes();
+	counters.frame_bytes = this->frames.Bytes();
 	for (const auto &peer : this->peers) {
-		counters.view_bytes += peer->Bytes();
+		counters.frame_bytes += peer->Bytes();
 	}
-	QJsonObject dump = DumpKeeper(this->core, counters, this->entries.Connected(), this->planner.HoldsTerm());
+	QJsonObject dump = DumpKeeper(this->core, counters, this->entries.ConnectedEntries(), this->planner.HoldsTerm());
 	dump["platform_bytes"] = static_cast<qint64>(this->platform.Bytes());
-	dump["lease_fresh"] = this->entries.Fresh();
+	dump["lease_fresh"] = this->entries.MayGrantLeases();
 	return dump;
 }
--- a/src/keeper/keeper_server.h
+++ b/src/keeper/keeper_server.h
@@ -1,4 +1,4 @@
-/** @file keeper_server.h The keeper: reads the log, serves its zone, plans its region, answers operators. */
+/** @file keeper_server.h The keeper process: reads the log, serves its zone, plans its region, answers operators. */
 #ifndef KEEPER_SERVER_H
 #define KEEPER_SERVER_H
 
@@ -22,29 +22,29 @@
 	[[nodiscard]] QJsonObject Dump() const override;
 
 private:
-	/** A connection that an entry uses. */
+	/** Connection to an entry over frames. */
 	struct Channel : public EntryChannel {
 		explicit Channel(FrameLink &link) : link(link) {}
 		void Send(const MessageUnion &message) override { this->link.Send(message); }
 		FrameLink &link; ///< The connection.
 	};
 
-	Settings settings;                                        ///< Settings.
+	Settings settings;                                        ///< Settings of the process.
 	QtScheduler scheduler;                                    ///< Clock and timers.
-	PlatformClient platform;                                  ///< The platform.
-	LogTail tail;                                             ///< The state.
-	LogWriter writer;                                         ///< Appends.
-	KeeperCore core;                                          ///< Shared by the desks.
-	EntryHandler entries;                                     ///< Entries of the zone.
-	OperatorHandler operators;                                ///< Operators.
-	RegionPlanner planner;                                    ///< Planning.
-	SnapshotWriter snapshots;                                 ///< Snapshots.
-	FrameServer frames;                                       ///< Entries, keepers and operators connect here.
-	std::map<FrameLink *, std::unique_ptr<Channel>> channels; ///< Entries' connections.
+	PlatformClient platform;                                  ///< Client of the platform.
+	LogTail tail;                                             ///< Reads the log and applies it to the state.
+	LogWriter writer;                                         ///< Appends proposals to the log.
+	KeeperCore core;                                          ///< State shared by the handlers.
+	EntryHandler entries;                                     ///< Handles the entries of the zone.
+	OperatorHandler operators;                                ///< Handles requests of operators.
+	RegionPlanner planner;                                    ///< Plans the region.
+	SnapshotWriter snapshots;                                 ///< Writes snapshots to the log.
+	FrameServer frames;                                       ///< Server for entries, keepers and operators.
+	std::map<FrameLink *, std::unique_ptr<Channel>> channels; ///< Connections to entries.
 	std::vector<std::unique_ptr<FrameClient>> peers;          ///< Connections to other keepers.
-	StatusPage status;                                        ///< For operators.
-	bool held = false;                                        ///< Whether this keeper planned at the last tick.
-	bool joined_asked = false;                                ///< Whether the own joining is not decided yet.
+	StatusPage status;                                        ///< State dump over HTTP.
+	bool was_planning = false;                                ///< Whether this keeper held the term at the last tick.
+	bool join_pending = false;                                ///< Whether this keeper's join is undecided.
 
 	void OnRecord(const std::vector<Decision> &decisions);
 	void OnFrame(FrameLink &link, const MessageUnion &message);
@@ -52,11 +52,11 @@
 	void FetchList();
 	void FetchJobEnds();
 	void PlanTick();
-	void SecondTick();
-	void BeatTick();
+	void CheckTick();
+	void HeartbeatTick();
 	void SendState(FrameLink &link, uint64_t above) const;
 	void JoinSelf();
-	void AskPeersForState();
+	void RequestStateFromPeers();
 	[[nodiscard]] bool SelfIsMember() const;
 };
 
--- a/src/keeper/operator_handler.cpp
+++ b/src/keeper/operator_handler.cpp
@@ -1,4 +1,4 @@
-/** @file operator_handler.cpp Operators' requests to a keeper. */
+/** @file operator_handler.cpp Handles requests of operators. */
 #include "operator_handler.h"
 
 #include "../fleet/table_func.h"
@@ -20,10 +20,10 @@
 
 namespace {
 
-constexpr size_t RECENT_DECISIONS = 20000; ///< Decisions remembered.
-constexpr Millis OUTCOME_WAIT(5000);       ///< After this an operator is told to ask again.
+constexpr size_t MAX_RECENT_DECISIONS = 20000; ///< Most decisions kept.
+constexpr Millis OUTCOME_TIMEOUT(5000);        ///< After this time an undecided request is answered.
 
-/** Builds the answer that carries an outcome. */
+/** Builds the reply with an outcome. */
 MessageUnion OutcomeOf(const std::string &id, const Result &result, LogOffset offset)
 {
 	OutcomeT outcome;
@@ -36,7 +36,7 @@
 	return message;
 }
 
-/** Copies a proposal through the codec. */
+/** Copies a proposal by encoding and decoding it. */
 Proposal CopyOf(const ProposalT &from)
 {
 	flatbuffers::FlatBufferBuilder builder;
@@ -45,12 +45,12 @@
 }
 
 /** Builds the change that publishes an edit. */
-TablePublishT PublicationOf(const PublishRequestT &it)
+TablePublishT PublicationOf(const PublishRequestT &request)
 {
 	TablePublishT publish;
-	publish.base_version = it.base_version;
-	publish.removed_services = it.removed_services;
-	for (const auto &cell : it.cells) {
+	publish.base_version = request.base_version;
+	publish.removed_services = request.removed_services;
+	for (const auto &cell : request.cells) {
 		publish.cells.push_back(std::make_unique<TableCellT>(*cell));
 	}
 	return publish;
@@ -58,10 +58,10 @@
 
 } // namespace
 
-void OperatorHandler::OnPublish(const PublishRequestT &it, const Reply &reply)
+void OperatorHandler::OnPublish(const PublishRequestT &request, const Reply &reply)
 {
-	Proposal proposal = MakeProposal(PublicationOf(it));
-	if (!it.check_only) {
+	Proposal proposal = MakeProposal(PublicationOf(request));
+	if (!request.check_only) {
 		this->Propose(std::move(proposal), reply);
 		return;
 	}
@@ -73,13 +73,13 @@
 	reply(OutcomeOf("", RunCommand(context, scratch, proposal->change), scratch.offset));
 }
 
-void OperatorHandler::OnChange(const ChangeRequestT &it, const Reply &reply)
+void OperatorHandler::OnChange(const ChangeRequestT &request, const Reply &reply)
 {
-	if (!it.proposal) {
+	if (!request.proposal) {
 		reply(OutcomeOf("", Result{ResultCode::RC_MALFORMED, "no change"}, LogOffset()));
 		return;
 	}
-	this->Propose(CopyOf(*it.proposal), reply);
+	this->Propose(CopyOf(*request.proposal), reply);
 }
 
 void OperatorHandler::Propose(Proposal proposal, const Reply &reply)
@@ -91,31 +91,31 @@
 		}
 	};
 	const auto id = this->core.writer.Submit(std::move(proposal), WritePriority::WP_CONFIG, done);
-	this->core.scheduler.After(OUTCOME_WAIT, [this, answered, reply, id] {
+	this->core.scheduler.After(OUTCOME_TIMEOUT, [this, answered, reply, id] {
 		if (std::exchange(*answered, true)) {
 			return;
 		}
-		/* Not appended yet: taken back, so that the answer is certain. Else it may still take effect. */
+		/* A proposal not appended yet is withdrawn and the outcome is certain; otherwise it may still take effect. */
 		const bool certain = this->core.writer.Withdraw(id);
 		const ResultCode code = certain ? ResultCode::RC_LOG_UNAVAILABLE : ResultCode::RC_OUTCOME_UNKNOWN;
 		reply(OutcomeOf(certain ? "" : id->Text(), Result{code, ""}, LogOffset()));
 	});
 }
 
-void OperatorHandler::OnAskOutcome(const AskOutcomeT &it, const Reply &reply) const
+void OperatorHandler::OnAskOutcome(const AskOutcomeT &request, const Reply &reply) const
 {
-	const auto same = [&](const Decision &decision) {
-		return decision.id.Text() == it.id && decision.result.code != ResultCode::RC_DUPLICATE;
+	const auto matches_id = [&](const Decision &decision) {
+		return decision.id.Text() == request.id && decision.result.code != ResultCode::RC_DUPLICATE;
 	};
-	const auto found = std::ranges::find_if(this->recent, same);
+	const auto found = std::ranges::find_if(this->recent, matches_id);
 	if (found == this->recent.end()) {
-		reply(OutcomeOf(it.id, Result{ResultCode::RC_OUTCOME_UNKNOWN, ""}, LogOffset()));
+		reply(OutcomeOf(request.id, Result{ResultCode::RC_OUTCOME_UNKNOWN, ""}, LogOffset()));
 		return;
 	}
-	reply(OutcomeOf(it.id, found->result, found->offset));
+	reply(OutcomeOf(request.id, found->result, found->offset));
 }
 
-void OperatorHandler::OnTable(const Reply &reply) const
+void OperatorHandler::OnTableRequest(const Reply &reply) const
 {
 	TableReplyT table;
 	table.version = this->core.State().table_version.Value();
@@ -137,7 +137,7 @@
 		this->recent.push_back(it);
 		(it.result.Ok() ? this->core.counters.accepted : this->core.counters.rejected)++;
 	}
-	while (this->recent.size() > RECENT_DECISIONS) {
+	while (this->recent.size() > MAX_RECENT_DECISIONS) {
 		this->recent.pop_front();
 	}
 }
--- a/src/keeper/operator_handler.h
+++ b/src/keeper/operator_handler.h
@@ -1,5 +1,4 @@
-/** @file operator_handler.h Operators' requests to a keeper: publish, change, ask for outcomes, read table and state.
- */
+/** @file operator_handler.h Handles operators' requests: publish, change, query outcomes, read the table. */
 #ifndef OPERATOR_HANDLER_H
 #define OPERATOR_HANDLER_H
 
@@ -8,7 +7,7 @@
 #include <deque>
 #include <functional>
 
-/** Answers operators. An operator is told "accepted", "rejected, because" or "unknown, ask again"; never a guess. */
+/** Answers operators. An outcome is "accepted", "rejected" with a reason, or "unknown" when it is not known yet. */
 class OperatorHandler {
 public:
 	using Reply = std::function<void(const glade::wire::MessageUnion &)>;
@@ -17,43 +16,43 @@
 
 	/**
 	 * Checks or publishes an edit of the table.
-	 * @param it The edit.
-	 * @param reply Gets the outcome; later, when the fold has decided.
+	 * @param request The edit.
+	 * @param reply Called with the outcome when it is decided or after a timeout; at once for a check.
 	 */
-	void OnPublish(const glade::wire::PublishRequestT &it, const Reply &reply);
+	void OnPublish(const glade::wire::PublishRequestT &request, const Reply &reply);
 
 	/**
 	 * Proposes any other change: jobs, quotas, steps of boxes.
-	 * @param it The change.
-	 * @param reply Gets the outcome; later, when the fold has decided.
+	 * @param request The change.
+	 * @param reply Called with the outcome when it is decided or after a timeout; at once for a malformed request.
 	 */
-	void OnChange(const glade::wire::ChangeRequestT &it, const Reply &reply);
+	void OnChange(const glade::wire::ChangeRequestT &request, const Reply &reply);
 
 	/**
-	 * Tells what became of a proposal.
-	 * @param it Its id.
-	 * @param reply Gets the outcome.
+	 * Reports the outcome of an earlier proposal.
+	 * @param request Id of the proposal.
+	 * @param reply Called with the outcome; RC_OUTCOME_UNKNOWN when the decision is not among the remembered ones.
 	 */
-	void OnAskOutcome(const glade::wire::AskOutcomeT &it, const Reply &reply) const;
+	void OnAskOutcome(const glade::wire::AskOutcomeT &request, const Reply &reply) const;
 
 	/**
-	 * Sends the table in force.
-	 * @param reply Gets it.
+	 * Sends the current table.
+	 * @param reply Called with the table.
 	 */
-	void OnTable(const Reply &reply) const;
+	void OnTableRequest(const Reply &reply) const;
 
 	/**
 	 * Remembers decisions of all writers for OnAskOutcome() and `glade table history`.
-	 * @param decisions Decisions of a record.
+	 * @param decisions Decisions on the proposals of one log record.
 	 */
 	void OnDecisions(const std::vector<Decision> &decisions);
 
-	/** @return Decisions remembered, oldest first. */
-	[[nodiscard]] const std::deque<Decision> &Recent() const { return this->recent; }
+	/** @return The remembered decisions, oldest first. */
+	[[nodiscard]] const std::deque<Decision> &RecentDecisions() const { return this->recent; }
 
 private:
-	KeeperCore &core;            ///< Shared parts.
-	std::deque<Decision> recent; ///< Decisions remembered.
+	KeeperCore &core;            ///< Shared state of the keeper.
+	std::deque<Decision> recent; ///< Most recent decisions, oldest first.
 
 	void Propose(Proposal proposal, const Reply &reply);
 };
--- a/src/keeper/region_planner.cpp
+++ b/src/keeper/region_planner.cpp
@@ -1,4 +1,4 @@
-/** @file region_planner.cpp The keeper as planner. */
+/** @file region_planner.cpp Planner of a keeper's region. */
 #include "region_planner.h"
 
 #include "../request/route_func.h"
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr size_t JOBS_A_STEP = 200;      ///< Most jobs placed in one planning step.
-constexpr int64_t BEATS_PER_SILENCE = 3; ///< Beats that a planner sends in the time after which it counts as silent.
-constexpr uint64_t PATIENCE_STEPS = 8;   ///< Keepers wait one of so many extra times before they take a term.
+constexpr size_t MAX_JOBS_PER_STEP = 200;     ///< Maximum number of jobs placed in one planning step.
+constexpr int64_t HEARTBEATS_PER_SILENCE = 3; ///< Heartbeats that a planner submits within its allowed silence.
+constexpr uint64_t TAKEOVER_DELAY_STEPS = 8;  ///< Number of different delays before keepers take over a term.
 
 bool EndBefore(const JobEnd &a, const JobEnd &b)
 {
@@ -21,140 +21,141 @@
 } // namespace
 
 RegionPlanner::RegionPlanner(KeeperCore &core, const EntryHandler &entries, BoxControl &control, PlannerPolicy policy)
-		: core(core), entries(entries), control(control), policy(policy), planner_heard(core.scheduler.Now()),
-		  reported(EndBefore)
+		: core(core), entries(entries), control(control), policy(policy), planner_last_seen(core.scheduler.Now()),
+		  pending_ends(EndBefore)
 {
 }
 
 bool RegionPlanner::HoldsTerm() const
 {
-	/* A term that an earlier start of this process took is not ours: it is taken anew. */
-	const auto seat = this->core.State().planners.find(this->core.self.region);
-	return seat != this->core.State().planners.end() && seat->second.member == this->core.self.name &&
-		   seat->second.term == this->taken && this->taken != Term();
+	/* A term of an earlier incarnation of this keeper doesn't count; this incarnation acquires a new one. */
+	const auto holder = this->core.State().planners.find(this->core.self.region);
+	return holder != this->core.State().planners.end() && holder->second.member == this->core.self.name &&
+		   holder->second.term == this->own_term && this->own_term != Term();
 }
 
 void RegionPlanner::OnDecisions(const std::vector<Decision> &decisions)
 {
-	const auto seat = this->core.State().planners.find(this->core.self.region);
-	if (seat == this->core.State().planners.end()) {
+	const auto holder = this->core.State().planners.find(this->core.self.region);
+	if (holder == this->core.State().planners.end()) {
 		return;
 	}
 	const bool heard = std::ranges::any_of(
-			decisions, [&](const Decision &it) { return it.id.writer == seat->second.member.Value(); });
+			decisions, [&](const Decision &it) { return it.id.writer == holder->second.member.Value(); });
 	if (heard) {
-		this->planner_heard = this->core.scheduler.Now();
+		this->planner_last_seen = this->core.scheduler.Now();
 	}
 }
 
-Millis RegionPlanner::Patience() const
+Millis RegionPlanner::TakeoverDelay() const
 {
-	/* Keepers wait differently long, so that one of them takes the term and the others see it. */
-	const uint64_t step = HashText(this->core.self.name.Value()) % PATIENCE_STEPS;
+	/* The delay differs between keepers, so that one takes the term and the others read its record in time. */
+	const uint64_t step = HashText(this->core.self.name.Value()) % TAKEOVER_DELAY_STEPS;
 	const int64_t silence = this->core.times.planner_silence.Value();
-	return Millis(silence + silence * static_cast<int64_t>(step) / static_cast<int64_t>(PATIENCE_STEPS));
+	return Millis(silence + silence * static_cast<int64_t>(step) / static_cast<int64_t>(TAKEOVER_DELAY_STEPS));
 }
 
 void RegionPlanner::Tick()
 {
 	if (!this->core.tail.CaughtUp()) {
-		/* While the log is silent nobody can plan; silence then says nothing about the planner. */
-		this->planner_heard = this->core.scheduler.Now();
+		/* While the log is unreachable no keeper can write, so its silence doesn't mean that the planner failed. */
+		this->planner_last_seen = this->core.scheduler.Now();
 		return;
 	}
 	this->ReportDrains();
 	if (this->HoldsTerm()) {
-		this->Beat();
+		this->SubmitHeartbeat();
 		this->Plan();
 		return;
 	}
 	const auto &planners = this->core.State().planners;
-	const auto seat = planners.find(this->core.self.region);
-	const bool vacant = seat == planners.end() || seat->second.member == this->core.self.name ||
-						!this->core.State().members.contains(seat->second.member);
-	if (vacant || this->planner_heard + this->Patience() < this->core.scheduler.Now()) {
+	const auto holder = planners.find(this->core.self.region);
+	const bool vacant = holder == planners.end() || holder->second.member == this->core.self.name ||
+						!this->core.State().members.contains(holder->second.member);
+	if (vacant || this->planner_last_seen + this->TakeoverDelay() < this->core.scheduler.Now()) {
 		this->TakeTerm();
 	}
 }
 
 void RegionPlanner::TakeTerm()
 {
-	if (this->asked) {
+	if (this->proposal_pending) {
 		return;
 	}
-	this->asked = true;
-	const auto seat = this->core.State().planners.find(this->core.self.region);
+	this->proposal_pending = true;
+	const auto holder = this->core.State().planners.find(this->core.self.region);
 	glade::wire::PlannerTermT term;
 	term.region = this->core.self.region.Value();
 	term.member = this->core.self.name.Value();
-	term.seen_term = seat == this->core.State().planners.end() ? 0 : seat->second.term.Value();
+	term.seen_term = holder == this->core.State().planners.end() ? 0 : holder->second.term.Value();
 	this->core.writer.Submit(MakeProposal(std::move(term)), WritePriority::WP_CONFIG, [this](const Decision &decision) {
-		this->asked = false;
+		this->proposal_pending = false;
 		if (decision.result.Ok()) {
 			this->core.counters.terms++;
-			this->taken = this->core.State().planners.at(this->core.self.region).term;
-			this->core.writer.SetTerm(this->core.self.region, this->taken);
+			this->own_term = this->core.State().planners.at(this->core.self.region).term;
+			this->core.writer.SetTerm(this->core.self.region, this->own_term);
 		}
 	});
 }
 
-void RegionPlanner::Beat()
+void RegionPlanner::SubmitHeartbeat()
 {
 	const Millis now = this->core.scheduler.Now();
-	if (this->last_beat + Millis(this->core.times.planner_silence.Value() / BEATS_PER_SILENCE) > now) {
+	if (this->last_heartbeat + Millis(this->core.times.planner_silence.Value() / HEARTBEATS_PER_SILENCE) > now) {
 		return;
 	}
-	this->last_beat = now;
+	this->last_heartbeat = now;
 	this->core.writer.Submit(MakeJoinProposal(this->core.self), WritePriority::WP_CONFIG);
 }
 
 void RegionPlanner::Submit(Proposal proposal, WritePriority priority)
 {
-	this->undecided++;
-	this->core.writer.Submit(std::move(proposal), priority, [this](const Decision &) { this->undecided--; });
+	this->pending_proposals++;
+	this->core.writer.Submit(std::move(proposal), priority, [this](const Decision &) { this->pending_proposals--; });
 }
 
 void RegionPlanner::Plan()
 {
 	this->OrderReboots();
 	this->OrderJobs();
-	this->ReportLapsedJobs();
-	/* The next step is planned on what the last one has led to. */
+	this->ReportLostJobs();
+	/* A step is planned only after all proposals of the last one are decided. */
 	const bool list_known =
 			this->core.list_fetched_at + Millis(10 * this->core.times.list_tick.Value()) > this->core.scheduler.Now();
-	if (this->undecided > 0 || !list_known) {
+	if (this->pending_proposals > 0 || !list_known) {
 		return;
 	}
 	const auto begin = std::chrono::steady_clock::now();
 	PlannerInputs inputs;
 	inputs.list = this->core.list;
-	inputs.drained = this->entries.Drained();
+	inputs.drained = this->entries.DrainConfirmations();
 	for (Proposal &it : PlanBoxes(this->core.State(), inputs, this->policy)) {
 		this->Submit(std::move(it), WritePriority::WP_BOX);
 	}
-	JobPlan jobs = PlanJobs(this->core.State(), this->policy, JOBS_A_STEP);
+	JobPlan jobs = PlanJobs(this->core.State(), this->policy, MAX_JOBS_PER_STEP);
 	for (Proposal &it : jobs.placements) {
 		this->Submit(std::move(it), WritePriority::WP_JOB);
 	}
 	for (const JobName &name : jobs.stop) {
 		this->control.StopJob(this->core.State().jobs.at(name));
 	}
-	const auto took = std::chrono::steady_clock::now() - begin;
+	const auto elapsed = std::chrono::steady_clock::now() - begin;
 	this->core.counters.plans++;
 	this->core.counters.plan_us +=
-			static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(took).count());
+			static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(elapsed).count());
 }
 
 void RegionPlanner::ReportDrains()
 {
-	if (this->drains > 0) {
+	if (this->pending_drains > 0) {
 		return;
 	}
 	PlannerInputs inputs;
-	inputs.drained = this->entries.Drained();
+	inputs.drained = this->entries.DrainConfirmations();
 	for (Proposal &it : PlanDrains(this->core.State(), &this->core.self.zone, inputs)) {
-		this->drains++;
-		this->core.writer.Submit(std::move(it), WritePriority::WP_BOX, [this](const Decision &) { this->drains--; });
+		this->pending_drains++;
+		this->core.writer.Submit(std::move(it), WritePriority::WP_BOX,
+								 [this](const Decision &) { this->pending_drains--; });
 	}
 }
 
@@ -165,7 +166,7 @@
 			continue;
 		}
 		const auto listed = std::ranges::find(this->core.list, name, &ListedBox::name);
-		/* Ordered until the list shows the boot of this permit: an order may be lost, and a second does no harm. */
+		/* Repeated until the list shows the boot under this permit: an order may be lost, and orders are idempotent. */
 		if (listed == this->core.list.end() || listed->booted_for != box.permit) {
 			this->core.counters.reboots++;
 			this->control.Reboot(name, box.permit);
@@ -184,7 +185,7 @@
 	}
 }
 
-void RegionPlanner::ReportLapsedJobs()
+void RegionPlanner::ReportLostJobs()
 {
 	for (const auto &[name, job] : this->core.State().jobs) {
 		if (job.state != JobState::JS_PLACED) {
@@ -193,7 +194,7 @@
 		const auto box = this->core.State().boxes.find(job.box);
 		const bool lost = box == this->core.State().boxes.end() || box->second.epoch != job.box_epoch;
 		const JobEnd end{name, job.attempt, JobOutcome::JO_LEASE_EXPIRED};
-		if (lost && !this->reported.contains(end)) {
+		if (lost && !this->pending_ends.contains(end)) {
 			this->OnJobEnds({end});
 		}
 	}
@@ -205,7 +206,7 @@
 		return;
 	}
 	for (const JobEnd &end : ends) {
-		if (!this->reported.insert(end).second) {
+		if (!this->pending_ends.insert(end).second) {
 			continue;
 		}
 		glade::wire::JobReportT report;
@@ -213,7 +214,7 @@
 		report.attempt = end.attempt;
 		report.outcome = static_cast<uint8_t>(end.outcome);
 		this->core.writer.Submit(MakeProposal(std::move(report)), WritePriority::WP_JOB, [this, end](const Decision &) {
-			this->reported.erase(end);
+			this->pending_ends.erase(end);
 			this->control.Acknowledge(end);
 		});
 	}
--- a/src/keeper/region_planner.h
+++ b/src/keeper/region_planner.h
@@ -1,4 +1,5 @@
-/** @file region_planner.h The keeper as planner: takes terms, plans boxes and jobs, orders reboots and jobs. */
+/** @file region_planner.h Planner of a keeper's region: acquires the term, plans boxes and jobs, orders reboots and
+ * jobs. */
 #ifndef REGION_PLANNER_H
 #define REGION_PLANNER_H
 
@@ -10,59 +11,63 @@
 #include <set>
 
 /**
- * Plans the keeper's region while it holds the region's term. Any keeper may take the term when the planner is silent;
- * two that believe to hold it cost work, not safety, since the fold accepts one term.
+ * Plans the keeper's region while it holds the region's term. Any keeper may take the term when the planner writes
+ * nothing for too long. Two keepers that plan at the same time waste work but are safe: proposals are accepted under
+ * one term only.
  */
 class RegionPlanner {
 public:
 	/**
-	 * @param core Shared parts.
-	 * @param entries Drains.
+	 * @param core Shared state of the keeper; outlives this.
+	 * @param entries Source of the confirmed drains; outlives this.
 	 * @param control The platform's control of boxes and jobs; outlives this.
-	 * @param policy Weights.
+	 * @param policy Weights of the planner.
 	 */
 	RegionPlanner(KeeperCore &core, const EntryHandler &entries, BoxControl &control, PlannerPolicy policy);
 
-	/** One look: take the term, renew it, or plan. Called every plan tick. */
+	/**
+	 * Reports drains. Then plans when this keeper holds the term, else takes the term when the planner is gone or has
+	 * written nothing for too long. Called every KeeperTimes::plan_tick.
+	 */
 	void Tick();
 
 	/**
-	 * Looks at what the fold decided, to see whether the planner is alive.
-	 * @param decisions Decisions of a record.
+	 * Notes the decisions on a log record; those on the planner's proposals show that it is alive.
+	 * @param decisions Decisions on the proposals of one log record.
 	 */
 	void OnDecisions(const std::vector<Decision> &decisions);
 
-	/** @return Whether this keeper holds the term. */
+	/** @return Whether this process holds the region's term. */
 	[[nodiscard]] bool HoldsTerm() const;
 
 	/**
-	 * Records ended attempts that the platform tells of.
-	 * @param ends The ends.
+	 * Proposes to record attempts that have ended. Does nothing when this process doesn't hold the term.
+	 * @param ends Ends of job attempts.
 	 */
 	void OnJobEnds(const std::vector<JobEnd> &ends);
 
 private:
-	KeeperCore &core;                       ///< Shared parts.
-	const EntryHandler &entries;            ///< Drains.
-	BoxControl &control;                    ///< Orders.
-	PlannerPolicy policy;                   ///< Weights.
-	Millis planner_heard;                   ///< When the planner last wrote, as seen here.
-	Millis last_beat = Millis(-MS_PER_DAY); ///< When this keeper last showed that it plans.
-	bool asked = false;                     ///< Whether a term was proposed and is not decided yet.
-	Term taken;                             ///< Term that this process took, 0 for none.
-	size_t undecided = 0;                   ///< Planned proposals not decided yet.
-	size_t drains = 0;                      ///< Drains reported, not decided yet.
-	std::set<JobEnd, bool (*)(const JobEnd &, const JobEnd &)> reported; ///< Ends proposed, not decided yet.
+	KeeperCore &core;                            ///< Shared state of the keeper.
+	const EntryHandler &entries;                 ///< Source of the confirmed drains.
+	BoxControl &control;                         ///< Control of boxes and jobs.
+	PlannerPolicy policy;                        ///< Weights of the planner.
+	Millis planner_last_seen;                    ///< When a decision on a proposal of the planner was last read.
+	Millis last_heartbeat = Millis(-MS_PER_DAY); ///< When this keeper last submitted a heartbeat.
+	bool proposal_pending = false;               ///< Whether a proposal to take the term is undecided.
+	Term own_term;                               ///< Term that this process acquired last, 0 for none.
+	size_t pending_proposals = 0;                ///< Number of undecided proposals of the last plan.
+	size_t pending_drains = 0;                   ///< Number of undecided proposals about drains.
+	std::set<JobEnd, bool (*)(const JobEnd &, const JobEnd &)> pending_ends; ///< Ends proposed, not decided yet.
 
 	void TakeTerm();
-	void Beat();
+	void SubmitHeartbeat();
 	void Plan();
 	void Submit(Proposal proposal, WritePriority priority);
 	void OrderReboots();
 	void OrderJobs();
-	void ReportLapsedJobs();
+	void ReportLostJobs();
 	void ReportDrains();
-	[[nodiscard]] Millis Patience() const;
+	[[nodiscard]] Millis TakeoverDelay() const;
 };
 
 #endif /* REGION_PLANNER_H */
--- a/src/keeper/snapshot_writer.cpp
+++ b/src/keeper/snapshot_writer.cpp
@@ -1,4 +1,4 @@
-/** @file snapshot_writer.cpp Snapshots in the log. */
+/** @file snapshot_writer.cpp Writes snapshots of the state to the log. */
 #include "snapshot_writer.h"
 
 #include "../fleet/snapshot_func.h"
@@ -15,13 +15,14 @@
 	if (this->writing || !this->core.tail.CaughtUp()) {
 		return;
 	}
-	/* Others wait for twice as much, so that they step in only when the planner does not write. */
+	/* Other keepers wait for twice the limits, so that they write only when the planner doesn't. */
 	const uint64_t factor = planner ? 1 : 2;
 	const uint64_t records = this->core.State().offset.Value() - this->last_base.Value();
 	const Millis age = now - this->last_written;
-	const bool many = records > this->core.times.snapshot_records * factor;
-	const bool old = records > 0 && age.Value() > this->core.times.snapshot_age.Value() * static_cast<int64_t>(factor);
-	if (many || old) {
+	const bool records_due = records > this->core.times.snapshot_records * factor;
+	const bool age_due =
+			records > 0 && age.Value() > this->core.times.snapshot_age.Value() * static_cast<int64_t>(factor);
+	if (records_due || age_due) {
 		this->Write();
 	}
 }
@@ -32,9 +33,9 @@
 	this->core.counters.snapshots++;
 	const std::string bytes = PackSnapshot(this->core.State());
 	auto chunks = SplitSnapshot(bytes, this->core.State());
-	const auto left = std::make_shared<size_t>(chunks.size());
+	const auto remaining = std::make_shared<size_t>(chunks.size());
 	for (auto &chunk : chunks) {
 		this->core.writer.Submit(std::move(chunk), WritePriority::WP_BULK,
-								 [this, left](const Decision &) { this->writing = --*left > 0; });
+								 [this, remaining](const Decision &) { this->writing = --*remaining > 0; });
 	}
 }
--- a/src/keeper/snapshot_writer.h
+++ b/src/keeper/snapshot_writer.h
@@ -1,25 +1,25 @@
-/** @file snapshot_writer.h Snapshots in the log, well before its retention; states for peers when the log is down. */
+/** @file snapshot_writer.h Writes snapshots of the state to the log, before its retention drops the records. */
 #ifndef SNAPSHOT_WRITER_H
 #define SNAPSHOT_WRITER_H
 
 #include "keeper_core.h"
 
-/** Writes snapshots when one is due. Any keeper may; the planner goes first, so that one is usually enough. */
+/** Writes snapshots when one is due. Any keeper may write one; the planner does so earlier than the others. */
 class SnapshotWriter {
 public:
 	explicit SnapshotWriter(KeeperCore &core) : core(core), last_written(core.scheduler.Now()) {}
 
 	/**
-	 * Looks whether a snapshot is due. Called every second or so.
-	 * @param planner Whether this keeper plans.
+	 * Writes a snapshot when one is due. Called about once a second.
+	 * @param planner Whether this keeper holds the planning term.
 	 */
 	void Tick(bool planner);
 
 private:
-	KeeperCore &core;     ///< Shared parts.
-	Millis last_written;  ///< When a newer snapshot was last seen or written here.
-	LogOffset last_base;  ///< Base of the newest snapshot seen.
-	bool writing = false; ///< Whether chunks are not decided yet.
+	KeeperCore &core;     ///< Shared state of the keeper.
+	Millis last_written;  ///< When a newer snapshot was last read from the log; at first the start of the process.
+	LogOffset last_base;  ///< Base offset of the newest snapshot read.
+	bool writing = false; ///< Whether chunks of a snapshot are undecided.
 
 	void Write();
 };
--- a/src/keeper/view_func.cpp
+++ b/src/keeper/view_func.cpp
@@ -1,4 +1,4 @@
-/** @file view_func.cpp What entries are told of the fleet. */
+/** @file view_func.cpp Views of the fleet that are sent to entries. */
 #include "view_func.h"
 
 #include "../fleet/budget_func.h"
@@ -11,31 +11,31 @@
 using namespace glade::wire;
 
 /**
- * Adds what is new or different to a list, and names what is gone.
+ * Compares two lists of view parts by name.
  * @param from Older parts.
  * @param to Newer parts.
- * @param name_of Gives a part's name.
- * @param[out] changed Parts that are new or different.
- * @param[out] removed Names of parts that are gone.
+ * @param name_of Returns the name of a part.
+ * @param[out] changed Copies of parts that were added or changed.
+ * @param[out] removed Names of parts that were removed.
  */
 template <class Part, class NameOf>
 void DiffParts(const std::vector<std::unique_ptr<Part>> &from, const std::vector<std::unique_ptr<Part>> &to,
 			   NameOf name_of, std::vector<std::unique_ptr<Part>> &changed, std::vector<std::string> &removed)
 {
-	std::map<std::string, const Part *> old;
+	std::map<std::string, const Part *> old_parts;
 	for (const auto &it : from) {
-		old[name_of(*it)] = it.get();
+		old_parts[name_of(*it)] = it.get();
 	}
 	for (const auto &it : to) {
-		const auto found = old.find(name_of(*it));
-		if (found == old.end() || !(*found->second == *it)) {
+		const auto found = old_parts.find(name_of(*it));
+		if (found == old_parts.end() || !(*found->second == *it)) {
 			changed.push_back(std::make_unique<Part>(*it));
 		}
-		if (found != old.end()) {
-			old.erase(found);
+		if (found != old_parts.end()) {
+			old_parts.erase(found);
 		}
 	}
-	std::ranges::transform(old, std::back_inserter(removed), [](const auto &it) { return it.first; });
+	std::ranges::transform(old_parts, std::back_inserter(removed), [](const auto &it) { return it.first; });
 }
 
 template <class Part>
@@ -52,8 +52,8 @@
 	return std::ranges::equal(a, b, [](const auto &x, const auto &y) { return *x == *y; });
 }
 
-/** Boxes that the list names as not live. */
-std::set<BoxName> ClosedByList(const std::vector<ListedBox> &list)
+/** @return Boxes that the list shows with a health other than up. */
+std::set<BoxName> NotUpInList(const std::vector<ListedBox> &list)
 {
 	std::set<BoxName> closed;
 	for (const ListedBox &it : list) {
@@ -110,7 +110,7 @@
 {
 	ViewT view;
 	view.offset = fleet.offset.Value();
-	const std::set<BoxName> closed = ClosedByList(list);
+	const std::set<BoxName> closed = NotUpInList(list);
 	std::map<PoolName, uint32_t> slots;
 	for (const auto &[name, box] : fleet.boxes) {
 		slots[box.pool] += box.slots.Value();
--- a/src/keeper/view_func.h
+++ b/src/keeper/view_func.h
@@ -1,4 +1,4 @@
-/** @file view_func.h What entries are told of the fleet: whole views and the changes between two. */
+/** @file view_func.h Views of the fleet that are sent to entries: complete views and differences between two. */
 #ifndef VIEW_FUNC_H
 #define VIEW_FUNC_H
 
@@ -6,19 +6,20 @@
 #include "../planner/planner_type.h"
 
 /**
- * Builds the whole view of a zone.
+ * Builds the complete view of a zone.
  * @param fleet The state.
  * @param zone The zone.
- * @param list The platform's list: a box that it names as leaving or down is closed at once, ahead of the log.
- * @return The view, with its hash, without a version.
+ * @param list The platform's list: a box that it lists with a health other than up is closed at once, before the log
+ * records it.
+ * @return The view with its hash; its version is not set.
  */
 glade::wire::ViewT BuildView(const FleetState &fleet, const ZoneName &zone, const std::vector<ListedBox> &list);
 
 /**
- * What changed between two whole views.
- * @param from The older.
- * @param to The newer.
- * @return The changes, on top of the version of `from`.
+ * Computes the difference between two complete views.
+ * @param from The older view.
+ * @param to The newer view.
+ * @return The changes, relative to the version of `from`.
  */
 glade::wire::ViewT DiffView(const glade::wire::ViewT &from, const glade::wire::ViewT &to);
 
--- a/src/platform_type.h
+++ b/src/platform_type.h
@@ -1,5 +1,4 @@
-/** @file platform_type.h The platform besides its log, behind narrow interfaces: list of boxes, control of boxes and
- * jobs. */
+/** @file platform_type.h Interfaces to the platform other than its log: list of boxes, control of boxes and jobs. */
 #ifndef PLATFORM_TYPE_H
 #define PLATFORM_TYPE_H
 
@@ -8,26 +7,26 @@
 #include <functional>
 #include <vector>
 
-/** The platform's list of boxes; it lags. */
+/** The platform's list of boxes. It lags behind the actual state of the boxes. */
 class BoxList {
 public:
 	virtual ~BoxList() = default;
 
 	/**
-	 * Asks for the list.
-	 * @param done Gets RC_OK and the list, or RC_LOG_UNAVAILABLE.
+	 * Fetches the list.
+	 * @param done Called with RC_OK and the list, or with RC_LOG_UNAVAILABLE.
 	 */
 	virtual void Fetch(std::function<void(ResultCode, std::vector<ListedBox>)> done) = 0;
 };
 
-/** How an attempt at a job ended, as a worker reports it. */
+/** End of an attempt at a job, as reported by its worker. */
 struct JobEnd {
 	JobName job;                              ///< The job.
-	uint32_t attempt = 0;                     ///< Its attempt.
-	JobOutcome outcome = JobOutcome::JO_DONE; ///< How it ended.
+	uint32_t attempt = 0;                     ///< Number of the attempt.
+	JobOutcome outcome = JobOutcome::JO_DONE; ///< Outcome of the attempt.
 };
 
-/** Control of boxes and of the jobs on them. Every order is idempotent: it names its permit or attempt. */
+/** Control of boxes and of the jobs on them. Orders are idempotent: each carries its permit or attempt. */
 class BoxControl {
 public:
 	virtual ~BoxControl() = default;
@@ -35,7 +34,7 @@
 	/**
 	 * Orders a reboot. A second order under the same permit changes nothing.
 	 * @param box The box.
-	 * @param permit Permit under which it reboots.
+	 * @param permit The permit for the reboot.
 	 */
 	virtual void Reboot(const BoxName &box, PermitId permit) = 0;
 
@@ -46,20 +45,20 @@
 	virtual void StartJob(const Job &job) = 0;
 
 	/**
-	 * Asks a box to stop a job at its next checkpoint.
+	 * Requests a box to stop a job at its next checkpoint.
 	 * @param job The job, as placed.
 	 */
 	virtual void StopJob(const Job &job) = 0;
 
 	/**
-	 * Asks for attempts that have ended. Each is told until Acknowledge().
-	 * @param done Gets them.
+	 * Fetches the attempts that have ended. Each is returned again until Acknowledge() is called for it.
+	 * @param done Called with RC_OK and the ends, or with an error code.
 	 */
 	virtual void FetchJobEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done) = 0;
 
 	/**
-	 * The end of an attempt is recorded: it need not be told again.
-	 * @param end The end.
+	 * Confirms that the end of an attempt is recorded; it is not returned again.
+	 * @param end End of the attempt.
 	 */
 	virtual void Acknowledge(const JobEnd &end) = 0;
 };
--- a/src/program/bounded_log.cpp
+++ b/src/program/bounded_log.cpp
@@ -1,4 +1,4 @@
-/** @file bounded_log.cpp Lines of decisions, bounded in volume. */
+/** @file bounded_log.cpp Event log with a rate limit. */
 #include "bounded_log.h"
 
 #include "logging.h"
@@ -21,7 +21,7 @@
 	}
 	if (window.written >= this->per_second) {
 		window.omitted++;
-		this->left_out++;
+		this->dropped++;
 		return;
 	}
 	window.written++;
--- a/src/program/bounded_log.h
+++ b/src/program/bounded_log.h
@@ -1,4 +1,4 @@
-/** @file bounded_log.h Lines of decisions, bounded in volume: a rate for each kind of line. */
+/** @file bounded_log.h Event log with a rate limit for each kind of line. */
 #ifndef BOUNDED_LOG_H
 #define BOUNDED_LOG_H
 
@@ -8,32 +8,32 @@
 #include <map>
 #include <string_view>
 
-/** Writes lines by LogEvent(), at most so many a second of each kind, and tells how many it left out. */
+/** Writes lines with LogEvent(), a limited number per second of each kind, and logs how many it dropped. */
 class RateLimitedLog : public EventLog {
 public:
 	/**
-	 * @param scheduler Clock.
-	 * @param per_second Lines of one kind written within a second.
+	 * @param scheduler Clock; outlives this.
+	 * @param per_second Maximum number of lines of one kind per second.
 	 */
 	RateLimitedLog(Scheduler &scheduler, uint32_t per_second) : scheduler(scheduler), per_second(per_second) {}
 
 	void Write(const char *event, std::initializer_list<EventField> fields) override;
 
-	/** @return Lines left out so far. */
-	[[nodiscard]] uint64_t DroppedLines() const { return this->left_out; }
+	/** @return Number of lines dropped so far. */
+	[[nodiscard]] uint64_t DroppedLines() const { return this->dropped; }
 
 private:
-	/** Lines of one kind within the current second. */
+	/** Counts of lines of one kind within one second. */
 	struct Window {
-		int64_t second = -1;  ///< Which second of the steady clock.
-		uint32_t written = 0; ///< Lines written.
-		uint32_t omitted = 0; ///< Lines left out.
+		int64_t second = -1;  ///< The second, by the scheduler's clock.
+		uint32_t written = 0; ///< Number of lines written.
+		uint32_t omitted = 0; ///< Number of lines dropped.
 	};
 
 	Scheduler &scheduler;                               ///< Clock.
-	uint32_t per_second;                                ///< Lines of one kind within a second.
-	uint64_t left_out = 0;                              ///< For DroppedLines().
-	std::map<std::string, Window, std::less<>> windows; ///< By kind.
+	uint32_t per_second;                                ///< Maximum number of lines of one kind per second.
+	uint64_t dropped = 0;                               ///< For DroppedLines().
+	std::map<std::string, Window, std::less<>> windows; ///< Current window of each kind of line.
 };
 
 #endif /* BOUNDED_LOG_H */
--- a/src/program/easylogging_unit.cpp
+++ b/src/program/easylogging_unit.cpp
@@ -1,2 +1,2 @@
-/** @file easylogging_unit.cpp Compiles the source that easylogging++ ships with its header. */
+/** @file easylogging_unit.cpp Translation unit for the source file of easylogging++. */
 #include <easylogging++.cc>
--- a/src/program/logging.cpp
+++ b/src/program/logging.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-std::string _program;                ///< On every line; set once before threads start.
-LogLevel _least = LogLevel::LL_INFO; ///< Least level written; set once before threads start.
+std::string _program;                    ///< Name of the program; set once before threads start.
+LogLevel _min_level = LogLevel::LL_INFO; ///< Lowest severity written; set once before threads start.
 
-/** Quotes a value that holds blanks or quotes. */
+/** Quotes a value that is empty or contains white space, quotes or '='; newlines become blanks. */
 std::string Quoted(const std::string &value)
 {
 	if (!value.empty() && value.find_first_of(" \t\n\"=") == std::string::npos) {
@@ -32,13 +32,13 @@
 {
 	_program = program;
 	if (level == "debug") {
-		_least = LogLevel::LL_DEBUG;
+		_min_level = LogLevel::LL_DEBUG;
 	} else if (level == "info") {
-		_least = LogLevel::LL_INFO;
+		_min_level = LogLevel::LL_INFO;
 	} else if (level == "warning") {
-		_least = LogLevel::LL_WARNING;
+		_min_level = LogLevel::LL_WARNING;
 	} else if (level == "error") {
-		_least = LogLevel::LL_ERROR;
+		_min_level = LogLevel::LL_ERROR;
 	} else {
 		return false;
 	}
@@ -59,7 +59,7 @@
 
 void LogEvent(LogLevel level, const char *event, std::span<const LogField> fields)
 {
-	if (level < _least) {
+	if (level < _min_level) {
 		return;
 	}
 	std::string line = "program=" + _program + " event=" + event;
--- a/src/program/logging.h
+++ b/src/program/logging.h
@@ -1,5 +1,5 @@
-/** @file logging.h Structured log lines, key=value, by easylogging++. Lines tell of changes of state; counters tell the
- * rest. */
+/** @file logging.h Structured log lines of key=value fields, by easylogging++. Changes of state are logged; frequent
+ * events are counted instead. */
 #ifndef LOGGING_H
 #define LOGGING_H
 
@@ -13,35 +13,35 @@
 	std::string value; ///< Value; quoted when it holds blanks.
 };
 
-/** Weight of a log line. */
+/** Severity of a log line. */
 enum class LogLevel : unsigned char {
 	LL_DEBUG = 0,   ///< For developers.
 	LL_INFO = 1,    ///< A change of state.
-	LL_WARNING = 2, ///< Something that an operator should know.
-	LL_ERROR = 3,   ///< Something that an operator must act on.
+	LL_WARNING = 2, ///< A condition that an operator should know about.
+	LL_ERROR = 3,   ///< A condition that requires an operator to act.
 };
 
 /**
- * Sets logging up.
- * @param program Name of the program, on every line.
- * @param level "debug", "info", "warning" or "error": the least that is written.
+ * Sets up logging. Called before other threads start.
+ * @param program Name of the program, written on every line.
+ * @param level Lowest severity that is written: "debug", "info", "warning" or "error".
  * @return False when the level is none of these.
  */
 bool SetUpLogging(const std::string &program, const std::string &level);
 
 /**
- * Writes a line to standard error.
- * @param level Its weight.
- * @param event What happened, as a word.
- * @param fields The particulars.
+ * Writes a log line to standard output.
+ * @param level Severity.
+ * @param event Name of the event, one word.
+ * @param fields Fields of the line.
  */
 void LogEvent(LogLevel level, const char *event, std::initializer_list<LogField> fields);
 
 /**
- * Writes a line, as above.
- * @param level Weight.
- * @param event What happened, one word.
- * @param fields Its fields.
+ * Writes a log line to standard output.
+ * @param level Severity.
+ * @param event Name of the event, one word.
+ * @param fields Fields of the line.
  */
 void LogEvent(LogLevel level, const char *event, std::span<const LogField> fields);
 
--- a/src/program/program.cpp
+++ b/src/program/program.cpp
@@ -1,4 +1,4 @@
-/** @file program.cpp What every server program does. */
+/** @file program.cpp Common parts of all server programs. */
 #include "program.h"
 
 #include "../net/epoll_dispatcher.h"
@@ -18,9 +18,9 @@
 
 namespace {
 
-std::array<int, 2> _signal_pipe = {-1, -1}; ///< Signals come out of its first end as one byte each.
+std::array<int, 2> _signal_pipe = {-1, -1}; ///< Self-pipe; carries each signal number as one byte.
 
-/** Signal handler: only passes the number on. */
+/** Signal handler: writes the signal number to the pipe. */
 void OnSignal(int number)
 {
 	const auto byte = static_cast<char>(number);
@@ -44,7 +44,7 @@
 		   DescribeSettings(spec.table);
 }
 
-/** Serves until a signal asks for the stop. */
+/** Runs a server until a signal stops it. */
 class Runner {
 public:
 	Runner(QCoreApplication &app, Server &server, const ProgramSpec &spec, std::string file)
@@ -58,7 +58,7 @@
 			return static_cast<int>(ExitCode::EC_FAILED);
 		}
 		QSocketNotifier notifier(_signal_pipe[0], QSocketNotifier::Read);
-		QObject::connect(&notifier, &QSocketNotifier::activated, &notifier, [this] { this->OnByte(); });
+		QObject::connect(&notifier, &QSocketNotifier::activated, &notifier, [this] { this->OnSignalByte(); });
 		for (const int number : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) {
 			std::signal(number, OnSignal);
 		}
@@ -75,8 +75,8 @@
 	QCoreApplication &app;   ///< The application.
 	Server &server;          ///< The server.
 	const ProgramSpec &spec; ///< The program.
-	std::string file;        ///< Its settings.
-	bool stopping = false;   ///< Whether a stop is under way.
+	std::string file;        ///< Name of the settings file.
+	bool stopping = false;   ///< Whether a graceful stop is in progress.
 
 	void Reload()
 	{
@@ -93,7 +93,7 @@
 		this->server.Reload(settings.settings);
 	}
 
-	void OnByte()
+	void OnSignalByte()
 	{
 		char byte = 0;
 		if (read(_signal_pipe[0], &byte, 1) != 1) {
@@ -123,7 +123,7 @@
 
 void UseEpollEventLoop()
 {
-	/* Threads of their own keep Qt's loop, without GLib. */
+	/* Makes Qt use its own event loop instead of GLib's in other threads. */
 	qputenv("QT_NO_GLIB", "1");
 	QCoreApplication::setEventDispatcher(new EpollDispatcher);
 }
--- a/src/program/program.h
+++ b/src/program/program.h
@@ -1,4 +1,4 @@
-/** @file program.h What every server program does: command line, settings, logging, signals, state dump. */
+/** @file program.h Common parts of all server programs: command line, settings, logging, signals, state dump. */
 #ifndef PROGRAM_H
 #define PROGRAM_H
 
@@ -13,84 +13,84 @@
 #include <memory>
 #include <optional>
 
-/** Exit codes of all programs; docs/errors.md has them too. */
+/** Exit codes of all programs, documented in docs/errors.md. */
 enum class ExitCode : int {
-	EC_OK = 0,       ///< Done.
-	EC_FAILED = 1,   ///< The operation was refused or failed.
-	EC_USAGE = 2,    ///< The command line is wrong.
-	EC_SETTINGS = 3, ///< The settings are wrong.
-	EC_ADDRESS = 4,  ///< An address can't be listened on.
-	EC_UNKNOWN = 5,  ///< The outcome is unknown; ask again.
+	EC_OK = 0,       ///< Success.
+	EC_FAILED = 1,   ///< The operation was rejected or failed.
+	EC_USAGE = 2,    ///< The command line is not valid.
+	EC_SETTINGS = 3, ///< The settings are not valid.
+	EC_ADDRESS = 4,  ///< An address can't be listened on or connected to.
+	EC_UNKNOWN = 5,  ///< The outcome is not known yet; it can be queried later.
 };
 
-/** A server, as the main program drives it. */
+/** Interface of a server process to RunProgram(). */
 class Server {
 public:
 	virtual ~Server() = default;
 
-	/** @return Whether all addresses could be listened on. */
+	/** Starts the server. @return Whether it listens on all its addresses. */
 	virtual bool Start() = 0;
 
 	/**
-	 * A planned stop was asked for.
-	 * @param done Called when the process may end.
+	 * Starts a graceful stop.
+	 * @param done Called when the process may exit.
 	 */
 	virtual void Stop(std::function<void()> done) = 0;
 
-	/** The settings were read anew, on SIGHUP. @param now They are valid. */
+	/** Called when SIGHUP has reloaded the settings, which are valid. */
 	virtual void Reload(const Settings &) {}
 
-	/** @return The state, for the dump. */
+	/** @return The state for the dump. */
 	[[nodiscard]] virtual QJsonObject Dump() const = 0;
 
-	/** @return Whether the balancer should send callers here. */
+	/** @return Whether the load balancer should route callers to this process. */
 	[[nodiscard]] virtual bool Healthy() const { return true; }
 };
 
-/** What makes up a server program. */
+/** Description of a server program. */
 struct ProgramSpec {
-	const char *name;                                              ///< Its name.
-	const char *purpose;                                           ///< What it does, in a line.
-	std::span<const SettingSpec> table;                            ///< Its settings.
-	std::function<std::unique_ptr<Server>(const Settings &)> make; ///< Makes the server.
+	const char *name;                                              ///< Name of the program.
+	const char *purpose;                                           ///< One-line description for the usage text.
+	std::span<const SettingSpec> table;                            ///< Settings table.
+	std::function<std::unique_ptr<Server>(const Settings &)> make; ///< Creates the server.
 };
 
 /**
- * Runs a server program: reads the command line and settings, starts, serves until SIGTERM or SIGINT, stops as
- * planned. SIGUSR1 writes the state dump to standard output.
- * @param argc As main() gets it.
- * @param argv As main() gets it.
+ * Runs a server program: reads the command line and the settings, then serves until SIGTERM or SIGINT requests a
+ * graceful stop. SIGHUP reloads the settings; SIGUSR1 writes the state dump to standard output.
+ * @param argc Number of arguments, from main().
+ * @param argv Arguments, from main().
  * @param spec The program.
  * @return Exit code.
  */
 int RunProgram(int argc, char **argv, const ProgramSpec &spec);
 
-using ParsedArguments = std::map<std::string, docopt::value>; ///< Command line, by docopt.
+using ParsedArguments = std::map<std::string, docopt::value>; ///< Command line as parsed by docopt.
 
 /**
- * Reads a command line; prints help, version or what is wrong.
+ * Parses a command line; prints the help, the version or an error.
  * @param usage Usage text for docopt.
  * @param name Name of the program.
- * @param argc As main() gets it.
- * @param argv As main() gets it.
- * @param[out] args What was given.
- * @return Exit code when the program is to end, else nothing.
+ * @param argc Number of arguments, from main().
+ * @param argv Arguments, from main().
+ * @param[out] args The parsed arguments.
+ * @return Exit code when the program must exit, else std::nullopt.
  */
 std::optional<int> ParseArguments(const std::string &usage, const char *name, int argc, char **argv,
 								  ParsedArguments &args);
 
-/** The page for operators: GET /dump, /health. By Qt's HTTP server, with synchronous handlers only. */
+/** HTTP status page for operators: GET /dump and /health. Uses Qt's HTTP server with synchronous handlers only. */
 class StatusPage {
 public:
 	/**
-	 * @param server Whose state it shows; outlives this.
+	 * @param server The server whose state is shown; outlives this.
 	 */
 	explicit StatusPage(const Server &server);
 
 	/**
-	 * Begins to listen.
-	 * @param address Where.
-	 * @return Whether it listens.
+	 * Starts to listen.
+	 * @param address Address to listen on.
+	 * @return Whether it succeeded.
 	 */
 	bool Listen(const NetAddress &address);
 
@@ -99,15 +99,15 @@
 };
 
 /**
- * Gives the main thread an event loop over epoll, and other threads Qt's own one rather than GLib's, which takes more
- * time per event. Called before any Qt object is made.
+ * Sets an epoll event loop for the main thread, and Qt's own event loop for other threads instead of GLib's, which
+ * takes more time per event. Must be called before any Qt object is created.
  */
 void UseEpollEventLoop();
 
 /**
- * Reads a file.
- * @param name Its name; "-" for standard input.
- * @param[out] text Its text.
+ * Reads a text file.
+ * @param name Name of the file; "-" for standard input.
+ * @param[out] text Content of the file.
  * @return Whether it could be read.
  */
 bool ReadTextFile(const std::string &name, std::string &text);
--- a/src/program/settings.cpp
+++ b/src/program/settings.cpp
@@ -1,4 +1,4 @@
-/** @file settings.cpp Settings from YAML, checked against one table. */
+/** @file settings.cpp Settings in YAML, checked against a table. */
 #include "settings.h"
 
 #include <yaml-cpp/yaml.h>
@@ -12,18 +12,18 @@
 
 namespace {
 
-/** A unit of durations. */
+/** Unit of a duration. */
 struct DurationUnit {
-	const char *suffix; ///< As written.
-	int64_t ms;         ///< Milliseconds.
+	const char *suffix; ///< Suffix in the text.
+	int64_t ms;         ///< Length of the unit, ms.
 };
 
-constexpr std::array _units = {DurationUnit{"ms", 1}, DurationUnit{"min", 60 * MS_PER_SECOND},
-							   DurationUnit{"s", MS_PER_SECOND}, DurationUnit{"h", MS_PER_HOUR},
-							   DurationUnit{"d", MS_PER_DAY}};
+constexpr std::array _duration_units = {DurationUnit{"ms", 1}, DurationUnit{"min", 60 * MS_PER_SECOND},
+										DurationUnit{"s", MS_PER_SECOND}, DurationUnit{"h", MS_PER_HOUR},
+										DurationUnit{"d", MS_PER_DAY}};
 
-constexpr double THOUSANDTHS = 1000; ///< In one.
-constexpr double DECIMAL_MAX = 1e12; ///< Larger decimals are refused: their thousandths must fit.
+constexpr double THOUSANDTHS_PER_UNIT = 1000; ///< Thousandths in 1.
+constexpr double DECIMAL_MAX = 1e12;          ///< Largest decimal; its thousandths must fit into int64_t.
 
 bool ParseNumber(const std::string &text, int64_t &n)
 {
@@ -50,11 +50,11 @@
 	});
 }
 
-/** Writes a duration in its largest whole unit. */
+/** Formats a duration in the largest unit that divides it. */
 std::string DurationText(int64_t ms)
 {
-	const DurationUnit *best = _units.data();
-	for (const DurationUnit &unit : _units) {
+	const DurationUnit *best = _duration_units.data();
+	for (const DurationUnit &unit : _duration_units) {
 		if (ms != 0 && ms % unit.ms == 0 && unit.ms > best->ms) {
 			best = &unit;
 		}
@@ -65,11 +65,11 @@
 std::string DecimalText(int64_t thousandths)
 {
 	std::ostringstream out;
-	out << static_cast<double>(thousandths) / THOUSANDTHS;
+	out << static_cast<double>(thousandths) / THOUSANDTHS_PER_UNIT;
 	return out.str();
 }
 
-/** Reads a decimal as thousandths; what is finer is cut off. */
+/** Parses a decimal and returns it in thousandths, truncated. */
 std::optional<int64_t> ParseDecimal(const std::string &text)
 {
 	double value = 0;
@@ -77,10 +77,10 @@
 	if (ec != std::errc() || end != text.data() + text.size() || !(std::abs(value) <= DECIMAL_MAX)) {
 		return std::nullopt;
 	}
-	return static_cast<int64_t>(value * THOUSANDTHS);
+	return static_cast<int64_t>(value * THOUSANDTHS_PER_UNIT);
 }
 
-/** What a valid value looks like. */
+/** @return Description of the valid values of a setting. */
 std::string ExpectedOf(const SettingSpec &spec)
 {
 	switch (spec.kind) {
@@ -89,11 +89,12 @@
 	case SettingKind::SK_NAME:
 		return "name of letters, digits, '-', '_' and '.'";
 	case SettingKind::SK_NUMBER:
-		return "whole number from " + std::to_string(spec.low) + " to " + std::to_string(spec.high);
+		return "whole number from " + std::to_string(spec.minimum) + " to " + std::to_string(spec.maximum);
 	case SettingKind::SK_DECIMAL:
-		return "number from " + DecimalText(spec.low) + " to " + DecimalText(spec.high) + ", with decimals";
+		return "number from " + DecimalText(spec.minimum) + " to " + DecimalText(spec.maximum) + ", with decimals";
 	case SettingKind::SK_DURATION:
-		return "duration from " + DurationText(spec.low) + " to " + DurationText(spec.high) + " (ms, s, min, h, d)";
+		return "duration from " + DurationText(spec.minimum) + " to " + DurationText(spec.maximum) +
+			   " (ms, s, min, h, d)";
 	case SettingKind::SK_ADDRESS:
 		return "IP:port";
 	case SettingKind::SK_ADDRESSES:
@@ -106,8 +107,8 @@
 	return "";
 }
 
-/** Whether a text is valid for a setting that is no list. */
-bool Fits(const SettingSpec &spec, const std::string &text)
+/** @return Whether a text is a valid value, or a valid item of a list of addresses; false for SK_RECORDS. */
+bool IsValidValue(const SettingSpec &spec, const std::string &text)
 {
 	int64_t n = 0;
 	Millis duration;
@@ -117,13 +118,13 @@
 	case SettingKind::SK_NAME:
 		return IsName(text);
 	case SettingKind::SK_NUMBER:
-		return ParseNumber(text, n) && n >= spec.low && n <= spec.high;
+		return ParseNumber(text, n) && n >= spec.minimum && n <= spec.maximum;
 	case SettingKind::SK_DECIMAL: {
 		const std::optional<int64_t> thousandths = ParseDecimal(text);
-		return thousandths && *thousandths >= spec.low && *thousandths <= spec.high;
+		return thousandths && *thousandths >= spec.minimum && *thousandths <= spec.maximum;
 	}
 	case SettingKind::SK_DURATION:
-		return ParseDuration(text, duration) && duration.Value() >= spec.low && duration.Value() <= spec.high;
+		return ParseDuration(text, duration) && duration.Value() >= spec.minimum && duration.Value() <= spec.maximum;
 	case SettingKind::SK_ADDRESS:
 	case SettingKind::SK_ADDRESSES:
 		return ParseAddress(text).has_value();
@@ -139,7 +140,7 @@
 
 } // namespace
 
-/** Reads one file; keeps the first error. */
+/** Parses one settings file; keeps the first error. */
 class SettingsReader {
 public:
 	SettingsReader(std::string file, std::span<const SettingSpec> table) : file(std::move(file)), table(table) {}
@@ -157,14 +158,14 @@
 			this->out.result = {ResultCode::RC_SETTINGS,
 								this->file + ":" + std::to_string(e.mark.line + 1) + ": " + e.msg};
 		}
-		this->FillFallbacks();
+		this->ApplyDefaults();
 		return std::move(this->out);
 	}
 
 private:
-	std::string file;                   ///< Name of the file.
-	std::span<const SettingSpec> table; ///< The table.
-	SettingsFile out;                   ///< What is read so far.
+	std::string file;                   ///< Name of the file, for error messages.
+	std::span<const SettingSpec> table; ///< Settings table of the program.
+	SettingsFile out;                   ///< Settings read so far and the first error.
 
 	void Fail(const YAML::Node &node, const std::string &what)
 	{
@@ -209,7 +210,7 @@
 
 	void CheckScalar(const SettingSpec &spec, const YAML::Node &node)
 	{
-		if (!node.IsScalar() || !Fits(spec, node.as<std::string>())) {
+		if (!node.IsScalar() || !IsValidValue(spec, node.as<std::string>())) {
 			const std::string found =
 					node.IsScalar() ? "'" + node.as<std::string>() + "'" : std::string("no single value");
 			this->Fail(node, std::string(spec.name) + ": expected " + ExpectedOf(spec) + ", found " + found);
@@ -247,17 +248,17 @@
 		}
 	}
 
-	void FillFallbacks()
+	void ApplyDefaults()
 	{
 		for (const SettingSpec &spec : this->table) {
 			if (this->out.settings.values.contains(spec.name)) {
 				continue;
 			}
-			if (spec.fallback == nullptr && this->out.result.Ok()) {
+			if (spec.default_value == nullptr && this->out.result.Ok()) {
 				this->out.result = {ResultCode::RC_SETTINGS, this->file + ": setting '" + std::string(spec.name) +
 																	 "' is missing, expected " + ExpectedOf(spec)};
 			}
-			this->out.settings.values[spec.name] = spec.fallback == nullptr ? "" : spec.fallback;
+			this->out.settings.values[spec.name] = spec.default_value == nullptr ? "" : spec.default_value;
 		}
 	}
 };
@@ -269,9 +270,9 @@
 		return false;
 	}
 	int64_t n = 0;
-	const auto unit =
-			std::ranges::find_if(_units, [&](const DurationUnit &it) { return text.substr(digits) == it.suffix; });
-	if (unit == _units.end() || !ParseNumber(text.substr(0, digits), n) || n > INT64_MAX / unit->ms) {
+	const auto unit = std::ranges::find_if(_duration_units,
+										   [&](const DurationUnit &it) { return text.substr(digits) == it.suffix; });
+	if (unit == _duration_units.end() || !ParseNumber(text.substr(0, digits), n) || n > INT64_MAX / unit->ms) {
 		return false;
 	}
 	value = Millis(n * unit->ms);
@@ -288,7 +289,7 @@
 	std::string text;
 	for (const SettingSpec &spec : table) {
 		text += std::string("  ") + spec.name + ": " + spec.help + " Expected: " + ExpectedOf(spec) + ". ";
-		text += spec.fallback == nullptr ? "Needed.\n" : "Default: '" + std::string(spec.fallback) + "'.\n";
+		text += spec.default_value == nullptr ? "Needed.\n" : "Default: '" + std::string(spec.default_value) + "'.\n";
 	}
 	return text;
 }
@@ -300,8 +301,8 @@
 		std::string expected = ExpectedOf(spec);
 		std::ranges::replace(expected, '|', '/');
 		text += std::string("| `") + spec.name + "` | " + expected + " | ";
-		text += (spec.fallback == nullptr ? std::string("needed") : "`" + std::string(spec.fallback) + "`") + " | " +
-				spec.help + " |\n";
+		text += (spec.default_value == nullptr ? std::string("needed") : "`" + std::string(spec.default_value) + "`") +
+				" | " + spec.help + " |\n";
 	}
 	return text + "\n";
 }
--- a/src/program/settings.h
+++ b/src/program/settings.h
@@ -1,4 +1,4 @@
-/** @file settings.h Settings from YAML, checked against one table that also yields help and docs. */
+/** @file settings.h Settings in YAML, checked against a table that also generates help and documentation. */
 #ifndef SETTINGS_H
 #define SETTINGS_H
 
@@ -11,12 +11,12 @@
 #include <string>
 #include <vector>
 
-/** What a setting holds. */
+/** Type of a setting. */
 enum class SettingKind : uint8_t {
 	SK_TEXT = 0,      ///< Any text.
 	SK_NAME = 1,      ///< A name: letters, digits, '-', '_' and '.'.
 	SK_NUMBER = 2,    ///< A whole number in a range.
-	SK_DURATION = 3,  ///< A whole number with ms, s, min, h or d, in a range.
+	SK_DURATION = 3,  ///< A whole number with unit ms, s, min, h or d, in a range.
 	SK_ADDRESS = 4,   ///< IP:port.
 	SK_ADDRESSES = 5, ///< A list of IP:port.
 	SK_CHOICE = 6,    ///< One of several words.
@@ -26,73 +26,74 @@
 
 /** One row of the settings table. */
 struct SettingSpec {
-	const char *name;     ///< Key.
-	SettingKind kind;     ///< What it holds.
-	const char *fallback; ///< Value when the file has none; null when the file must have one.
-	int64_t low;          ///< Smallest number, duration (ms) or decimal (thousandths).
-	int64_t high;         ///< Largest number, duration (ms) or decimal (thousandths).
-	const char *choices;  ///< Words of a choice, or fields of records, separated by '|'. A field with '?' may lack.
-	const char *help;     ///< What it is for, in a line.
+	const char *name;          ///< Key.
+	SettingKind kind;          ///< Type.
+	const char *default_value; ///< Default value; null when the setting is required.
+	int64_t minimum;           ///< Smallest number, duration (ms) or decimal (thousandths).
+	int64_t maximum;           ///< Largest number, duration (ms) or decimal (thousandths).
+	const char *choices;       ///< Choice words or record fields, separated by '|'; '?' marks optional fields.
+	const char *help;          ///< One-line description.
 };
 
-/** One record of a setting of kind SK_RECORDS: its fields by name. */
+/** One record of a setting of kind SK_RECORDS: values by field name. */
 using SettingRecord = std::map<std::string, std::string>;
 
-/** Settings as read; every value is checked. */
+/** Settings of a program; all values are valid. All accessors but Records() throw std::out_of_range for an unknown
+ * name. */
 class Settings {
 public:
-	/** @return Text of a setting. */
+	/** @return Value of a setting as text. */
 	[[nodiscard]] const std::string &Text(const std::string &name) const;
 
-	/** @return Value of a whole number. */
+	/** @return Value of a number setting. */
 	[[nodiscard]] int64_t Number(const std::string &name) const;
 
-	/** @return Value of a decimal, in thousandths. */
+	/** @return Value of a decimal setting, in thousandths. */
 	[[nodiscard]] int64_t Thousandths(const std::string &name) const;
 
-	/** @return Value of a duration. */
+	/** @return Value of a duration setting. */
 	[[nodiscard]] Millis Duration(const std::string &name) const;
 
-	/** @return An address. */
+	/** @return Value of an address setting. */
 	[[nodiscard]] NetAddress Address(const std::string &name) const;
 
-	/** @return A list of addresses. */
+	/** @return Values of a setting that lists addresses. */
 	[[nodiscard]] std::vector<NetAddress> Addresses(const std::string &name) const;
 
-	/** @return A list of records. */
+	/** @return Records of a setting; empty when the file has none. */
 	[[nodiscard]] const std::vector<SettingRecord> &Records(const std::string &name) const;
 
 private:
 	friend class SettingsReader;
 
-	std::map<std::string, std::string> values;                     ///< Text of each setting; lists by commas.
+	std::map<std::string, std::string> values;                     ///< Text of each setting; lists joined by commas.
 	std::map<std::string, std::vector<SettingRecord>> record_sets; ///< Records of each setting.
 };
 
-/** Settings or the first error. */
+/** Settings read from a file, or the first error. */
 struct SettingsFile {
-	Result result;     ///< RC_OK, or file, line and what was expected.
-	Settings settings; ///< The settings.
+	Result result;     ///< RC_OK, or RC_SETTINGS with file, line and expected value.
+	Settings settings; ///< The settings; valid when the result is RC_OK.
 };
 
 /**
- * Reads settings.
- * @param file Name of the file, for messages.
- * @param text Its text.
- * @param table The table.
+ * Parses and checks settings.
+ * @param file Name of the file, for error messages.
+ * @param text Content of the file, in YAML.
+ * @param table Settings table of the program.
  * @return The settings or the first error.
  */
 SettingsFile ReadSettings(const std::string &file, const std::string &text, std::span<const SettingSpec> table);
 
 /**
- * Describes a table for `--help`.
+ * Describes a settings table for `--help`.
  * @param table The table.
- * @return A line a setting.
+ * @return One line per setting.
  */
 std::string DescribeSettings(std::span<const SettingSpec> table);
 
 /**
- * Describes a table for docs/settings.md.
+ * Describes a settings table for docs/settings.md.
  * @param program Name of the program.
  * @param table The table.
  * @return A section in Markdown.
@@ -103,7 +104,7 @@
  * Reads a duration such as 250ms, 2s, 5min, 4h or 21d.
  * @param text The text.
  * @param[out] value The duration.
- * @return Whether it is one.
+ * @return Whether the text is a duration.
  */
 bool ParseDuration(const std::string &text, Millis &value);
 
--- a/src/program/settings_tables.cpp
+++ b/src/program/settings_tables.cpp
@@ -7,8 +7,8 @@
 
 using enum SettingKind;
 
-constexpr int64_t ONE_DAY = MS_PER_DAY;    ///< Upper end of most durations.
-constexpr int64_t PORT_BYTES = 1073741824; ///< Upper end of sizes: 1 GiB.
+constexpr int64_t ONE_DAY = MS_PER_DAY;        ///< Upper limit of most durations, ms.
+constexpr int64_t MAX_SIZE_BYTES = 1073741824; ///< Upper limit of sizes, bytes: 1 GiB.
 
 constexpr std::array _entry = {
 		SettingSpec{"name", SK_NAME, nullptr, 0, 0, "", "Name of this process, unique in the deployment."},
@@ -25,7 +25,7 @@
 					"Member firms: hash of their token, and the services they may use (all when empty, else separated "
 					"by blanks)."},
 		SettingSpec{"lanes", SK_NUMBER, "2", 1, 64, "", "Threads that carry requests."},
-		SettingSpec{"body_bytes", SK_NUMBER, "1048576", 1024, PORT_BYTES, "", "Longest body of a request, bytes."},
+		SettingSpec{"body_bytes", SK_NUMBER, "1048576", 1024, MAX_SIZE_BYTES, "", "Longest body of a request, bytes."},
 		SettingSpec{"head_bytes", SK_NUMBER, "16384", 1024, 1048576, "", "Longest head of a request, bytes."},
 		SettingSpec{"head_wait", SK_DURATION, "10s", 10, ONE_DAY, "", "A head that is not whole by then is refused."},
 		SettingSpec{"body_wait", SK_DURATION, "30s", 10, ONE_DAY, "", "A body that is not whole by then is refused."},
--- a/src/program/settings_tables.h
+++ b/src/program/settings_tables.h
@@ -1,4 +1,4 @@
-/** @file settings_tables.h The settings tables of all programs: the one place that says what may be set. */
+/** @file settings_tables.h The settings tables of all programs. */
 #ifndef SETTINGS_TABLES_H
 #define SETTINGS_TABLES_H
 
@@ -19,7 +19,7 @@
 /** @return Settings of standin_endpoint. */
 std::span<const SettingSpec> EndpointStandinSettings();
 
-/** @return The page docs/settings.md, whole. */
+/** @return Content of docs/settings.md. */
 std::string AllSettingsPage();
 
 #endif /* SETTINGS_TABLES_H */
--- a/src/resources_type.h
+++ b/src/resources_type.h
@@ -1,16 +1,16 @@
-/** @file resources_type.h What tasks take of boxes. */
+/** @file resources_type.h Resources that tasks require and boxes have. */
 #ifndef RESOURCES_TYPE_H
 #define RESOURCES_TYPE_H
 
 #include <cstdint>
 
-/** What a task takes of a box, or a box has. */
+/** Resources of a box, or those that a task requires. */
 struct Resources {
-	int64_t cpu = 0;          ///< Thousandths of a core.
-	int64_t memory = 0;       ///< MB.
-	int64_t accelerators = 0; ///< Whole devices.
+	int64_t cpu = 0;          ///< CPU, in thousandths of a core.
+	int64_t memory = 0;       ///< Memory, MB.
+	int64_t accelerators = 0; ///< Number of accelerator devices.
 
-	/** @return Whether a demand fits in here. */
+	/** @param demand Required resources. @return Whether they fit into these resources. */
 	[[nodiscard]] bool Holds(const Resources &demand) const
 	{
 		return demand.cpu <= this->cpu && demand.memory <= this->memory && demand.accelerators <= this->accelerators;
@@ -32,7 +32,7 @@
 		return *this;
 	}
 
-	/** @return What so many of these take together. @param count How many. */
+	/** @param count Multiplier. @return These resources multiplied by it. */
 	[[nodiscard]] Resources Times(int64_t count) const
 	{
 		return Resources{this->cpu * count, this->memory * count, this->accelerators * count};
--- a/src/scheduler_type.h
+++ b/src/scheduler_type.h
@@ -1,5 +1,5 @@
-/** @file scheduler_type.h Clock and timers behind one interface: Qt's event loop in programs, a virtual one in tests.
- */
+/** @file scheduler_type.h Interface for clock and timers, implemented by Qt's event loop in programs and by a
+ * simulated clock in tests. */
 #ifndef SCHEDULER_TYPE_H
 #define SCHEDULER_TYPE_H
 
@@ -8,9 +8,9 @@
 #include <functional>
 #include <map>
 
-using TimerId = Strong<struct TimerIdTag, uint64_t>; ///< A timer that was set; 0 is "none".
+using TimerId = Strong<struct TimerIdTag, uint64_t>; ///< Id of a timer; 0 means none.
 
-/** Clock and timers of one thread. Callbacks run on that thread, never inside After(). */
+/** Clock and timers of one thread. Callbacks run on that thread and never from within After(). */
 class Scheduler {
 public:
 	virtual ~Scheduler() = default;
@@ -18,31 +18,31 @@
 	/** @return Monotonic time. */
 	[[nodiscard]] virtual Millis Now() const = 0;
 
-	/** @return Time since 1970, for what other processes see. */
+	/** @return Time since the Unix epoch, for values that are shared with other processes. */
 	[[nodiscard]] virtual Millis WallNow() const = 0;
 
 	/**
-	 * Runs a function once, later.
-	 * @param delay How much later, 0 for as soon as the caller has returned.
+	 * Runs a function once after a delay.
+	 * @param delay The delay; 0 runs it as soon as control returns to the event loop.
 	 * @param run The function.
-	 * @return For Cancel().
+	 * @return Id of the timer, for Cancel().
 	 */
 	virtual TimerId After(Millis delay, std::function<void()> run) = 0;
 
 	/**
-	 * Cancels a timer; one that ran or was cancelled before is ignored.
+	 * Cancels a timer. Does nothing when the timer has run or was cancelled.
 	 * @param id The timer.
 	 */
 	virtual void Cancel(TimerId id) = 0;
 
 	/**
-	 * Runs a function soon on the scheduler's thread. The only member that other threads may call.
+	 * Queues a function to run on the scheduler's thread. The only member function that other threads may call.
 	 * @param run The function.
 	 */
 	virtual void Post(std::function<void()> run) = 0;
 };
 
-/** A scheduler whose time is moved by hand. Timers of the same moment run in the order in which they were set. */
+/** Scheduler with a simulated clock. Timers that are due at the same time run in the order in which they were set. */
 class VirtualScheduler : public Scheduler {
 public:
 	/**
@@ -57,31 +57,31 @@
 	void Post(std::function<void()> run) override { this->After(Millis(0), std::move(run)); }
 
 	/**
-	 * Runs everything that is due until a moment, then stands at that moment.
-	 * @param until The moment.
+	 * Runs all timers that are due up to a time, then sets the clock to that time.
+	 * @param until The time.
 	 */
 	void RunUntil(Millis until);
 
 	/**
-	 * Runs the next timer.
-	 * @return False when there is none.
+	 * Runs the next timer and advances the clock to its time.
+	 * @return False when there is no timer.
 	 */
 	bool RunNextTimer();
 
 private:
-	/** When a timer is due, and in which order among those of the moment. */
+	/** Key that orders timers by due time, then by id. */
 	struct Due {
-		Millis at;  ///< The moment.
-		TimerId id; ///< The order.
+		Millis at;  ///< Due time.
+		TimerId id; ///< Id of the timer.
 
 		auto operator<=>(const Due &) const = default;
 	};
 
 	Millis wall_start;                           ///< Wall clock at virtual time 0.
-	Millis now;                                  ///< Virtual time.
-	uint64_t last_id = 0;                        ///< Last timer handed out.
-	std::map<Due, std::function<void()>> timers; ///< What is to run, in order.
-	std::map<TimerId, Millis> due;               ///< Moment of each timer, for Cancel().
+	Millis now;                                  ///< Current virtual time.
+	uint64_t last_id = 0;                        ///< Id of the last timer that was set.
+	std::map<Due, std::function<void()>> timers; ///< Pending timers in the order in which they run.
+	std::map<TimerId, Millis> due;               ///< Due time of each pending timer, for Cancel().
 };
 
 #endif /* SCHEDULER_TYPE_H */
--- a/src/virtual_scheduler.cpp
+++ b/src/virtual_scheduler.cpp
@@ -1,4 +1,4 @@
-/** @file virtual_scheduler.cpp A scheduler whose time is moved by hand. */
+/** @file virtual_scheduler.cpp Scheduler with a simulated clock. */
 #include "scheduler_type.h"
 
 #include <algorithm>
