--- a/src/entry/credential_list.cpp
+++ b/src/entry/credential_list.cpp
@@ -1,4 +1,4 @@
-/** @file credential_list.cpp Member firms by the hash of their bearer token. */
+/** @file credential_list.cpp Client accounts by the hash of their bearer token. */
 #include "credential_list.h"
 
 #include "../account/key_hash.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::string_view SCHEME = "Bearer"; ///< The one scheme that is taken.
+constexpr std::string_view SCHEME = "Bearer"; ///< The only accepted authentication scheme.
 
 } // namespace
 
--- a/src/entry/entry_dump.cpp
+++ b/src/entry/entry_dump.cpp
@@ -1,4 +1,4 @@
-/** @file entry_dump.cpp An entry's state as JSON. */
+/** @file entry_dump.cpp State of an entry as JSON. */
 #include "entry_dump.h"
 
 #include <QJsonArray>
--- a/src/entry/entry_dump.h
+++ b/src/entry/entry_dump.h
@@ -1,4 +1,4 @@
-/** @file entry_dump.h An entry's state as JSON: no data of callers. */
+/** @file entry_dump.h State of an entry as JSON, without data of callers. */
 #ifndef ENTRY_DUMP_H
 #define ENTRY_DUMP_H
 
@@ -7,10 +7,10 @@
 #include <QJsonObject>
 
 /**
- * The state dump.
- * @param path Shared by all requests.
- * @param now Lane's clock.
- * @return The dump.
+ * Describes the state of an entry.
+ * @param path State shared by all requests.
+ * @param now Current time of the scheduler.
+ * @return The state as JSON.
  */
 QJsonObject DumpEntry(const RequestPath &path, Millis now);
 
--- a/src/entry/entry_server.cpp
+++ b/src/entry/entry_server.cpp
@@ -1,4 +1,4 @@
-/** @file entry_server.cpp The entry: carries callers' requests to endpoints. */
+/** @file entry_server.cpp The entry process: forwards callers' requests to endpoints. */
 #include "entry_server.h"
 
 #include "../program/logging.h"
@@ -9,23 +9,23 @@
 
 namespace {
 
-constexpr Millis GATE_TICK(20); ///< Time between two looks at the queues.
-constexpr Millis IDLE_TICK(50); ///< Time between two looks at what is under way during a stop.
+constexpr Millis GATE_INTERVAL(20);       ///< Interval between updates of the gates' queues and the slot broker.
+constexpr Millis IDLE_CHECK_INTERVAL(50); ///< Interval between checks for open requests during a stop.
 
-EntryIdentity IdentityOf(const Settings &settings, Millis wall_now)
+EntryIdentity MakeIdentity(const Settings &settings, Millis wall_now)
 {
 	return EntryIdentity{MemberName(settings.Text("name")), ZoneName(settings.Text("zone")),
 						 Incarnation(static_cast<uint64_t>(wall_now.Value()))};
 }
 
-GateSettings GatesOf(const Settings &settings)
+GateSettings MakeGateSettings(const Settings &settings)
 {
 	GateSettings gates;
 	gates.queue_limit = static_cast<size_t>(settings.Number("queue_limit"));
 	return gates;
 }
 
-KeyLimits KeysOf(const Settings &settings)
+KeyLimits MakeKeyLimits(const Settings &settings)
 {
 	KeyLimits keys;
 	keys.window = settings.Duration("key_window");
@@ -33,7 +33,7 @@
 	return keys;
 }
 
-RequestSettings PathOf(const Settings &settings)
+RequestSettings MakeRequestSettings(const Settings &settings)
 {
 	RequestSettings path;
 	path.deadline_urgent = settings.Duration("deadline_urgent");
@@ -43,7 +43,7 @@
 	return path;
 }
 
-CallerLimits CallersOf(const Settings &settings)
+CallerLimits MakeCallerLimits(const Settings &settings)
 {
 	CallerLimits callers;
 	callers.http.body_bytes = static_cast<size_t>(settings.Number("body_bytes"));
@@ -54,32 +54,33 @@
 	return callers;
 }
 
-EntryCard CardOf(const Settings &settings, Incarnation incarnation)
+EntryDescription DescribeEntry(const Settings &settings, Incarnation incarnation)
 {
-	return EntryCard{MemberName(settings.Text("name")), RegionName(settings.Text("region")),
-					 ZoneName(settings.Text("zone")),   settings.Text("peers"),
-					 settings.Text("frames"),           incarnation};
+	return EntryDescription{MemberName(settings.Text("name")), RegionName(settings.Text("region")),
+							ZoneName(settings.Text("zone")),   settings.Text("peers"),
+							settings.Text("frames"),           incarnation};
 }
 
 } // namespace
 
 EntryServer::EntryServer(const Settings &settings)
 		: settings(settings), credentials(settings.Records("credentials")),
-		  path(IdentityOf(settings, this->scheduler.WallNow()), GatesOf(settings),
-			   LeaseTimes{settings.Duration("settle")}, KeysOf(settings), PathOf(settings), this->credentials),
-		  callers([this](qintptr descriptor) { this->Take(descriptor, false); }),
-		  peers([this](qintptr descriptor) { this->Take(descriptor, true); }), mail(this->scheduler),
-		  broker(this->scheduler, this->path.routes, this->path.self.name, this->mail,
-				 settings.Duration("detach_patience")),
+		  path(MakeIdentity(settings, this->scheduler.WallNow()), MakeGateSettings(settings),
+			   LeaseTimes{settings.Duration("settle")}, MakeKeyLimits(settings), MakeRequestSettings(settings),
+			   this->credentials),
+		  callers([this](qintptr descriptor) { this->AssignConnection(descriptor, false); }),
+		  peers([this](qintptr descriptor) { this->AssignConnection(descriptor, true); }),
+		  peer_connections(this->scheduler), broker(this->scheduler, this->path.routes, this->path.self.name,
+													this->peer_connections, settings.Duration("detach_patience")),
 		  frames([this](FrameLink &, const MessageUnion &message) { this->broker.OnMessage(message); },
 				 [](FrameLink &) {}),
 		  keeper(this->scheduler, this->path, settings.Addresses("keepers"),
-				 CardOf(settings, this->path.self.incarnation)),
+				 DescribeEntry(settings, this->path.self.incarnation)),
 		  status(*this)
 {
 	DialLimits dial;
 	dial.connect_wait = settings.Duration("connect_wait");
-	const CallerLimits limits = CallersOf(settings);
+	const CallerLimits limits = MakeCallerLimits(settings);
 	for (int64_t i = 0; i < settings.Number("lanes"); i++) {
 		this->lanes.push_back(std::make_unique<Lane>(this->path, limits, limits, dial));
 	}
@@ -94,43 +95,44 @@
 
 bool EntryServer::Start()
 {
-	const NetAddress callers_at = this->settings.Address("callers");
-	const NetAddress peers_at = this->settings.Address("peers");
-	if (!this->callers.listen(callers_at.ip, callers_at.port) || !this->peers.listen(peers_at.ip, peers_at.port) ||
+	const NetAddress callers_address = this->settings.Address("callers");
+	const NetAddress peers_address = this->settings.Address("peers");
+	if (!this->callers.listen(callers_address.ip, callers_address.port) ||
+		!this->peers.listen(peers_address.ip, peers_address.port) ||
 		!this->frames.Listen(this->settings.Address("frames")) ||
 		!this->status.Listen(this->settings.Address("status"))) {
 		return false;
 	}
 	this->keeper.Start();
-	this->TickGates();
+	this->UpdateGates();
 	return true;
 }
 
-void EntryServer::Take(qintptr descriptor, bool from_peer)
+void EntryServer::AssignConnection(qintptr descriptor, bool from_peer)
 {
 	this->lanes[this->next_lane++ % this->lanes.size()]->AddConnection(descriptor, from_peer);
 }
 
-void EntryServer::TickGates()
+void EntryServer::UpdateGates()
 {
 	for (const auto &[pool, gate] : this->path.routes.Gates()) {
 		gate->Tick(this->scheduler.Now());
 	}
-	this->mail.Keep(this->path.routes.ZonePeers(), this->path.self.name);
+	this->peer_connections.Update(this->path.routes.ZonePeers(), this->path.self.name);
 	this->broker.Tick();
-	this->scheduler.After(GATE_TICK, [this] { this->TickGates(); });
+	this->scheduler.After(GATE_INTERVAL, [this] { this->UpdateGates(); });
 }
 
 void EntryServer::Stop(std::function<void()> done)
 {
-	/* First the health check fails and keepers are told; callers that still come are served, until the balancer has
-	 * seen it. Then nothing new is taken, and what is under way is finished. */
+	/* First the health check fails and the keeper is notified, while new requests are still served until the balancer
+	 * has noticed. Then the listener closes, and requests in progress are finished. */
 	this->leaving = true;
-	this->keeper.SayLeaving();
+	this->keeper.AnnounceLeaving();
 	this->scheduler.After(this->settings.Duration("leave_wait"), [this, done = std::move(done)]() mutable {
 		this->path.stopping = true;
 		this->callers.close();
-		this->stop_until = this->scheduler.Now() + this->settings.Duration("stop_wait");
+		this->stop_deadline = this->scheduler.Now() + this->settings.Duration("stop_wait");
 		this->WaitForIdle(std::move(done));
 	});
 }
@@ -141,15 +143,16 @@
 	const int64_t under_way = this->path.counters.open;
 	const int connections = std::accumulate(this->lanes.begin(), this->lanes.end(), 0,
 											[](int sum, const auto &it) { return sum + it->Connections(); });
-	const bool over = this->scheduler.Now() >= this->stop_until;
-	if ((under_way == 0 && connections == 0) || over) {
+	const bool timed_out = this->scheduler.Now() >= this->stop_deadline;
+	if ((under_way == 0 && connections == 0) || timed_out) {
 		if (under_way > 0) {
 			LogEvent(LogLevel::LL_WARNING, "stop_wait_over", {{"cut", std::to_string(under_way)}});
 		}
 		done();
 		return;
 	}
-	this->scheduler.After(IDLE_TICK, [this, done = std::move(done)]() mutable { this->WaitForIdle(std::move(done)); });
+	this->scheduler.After(IDLE_CHECK_INTERVAL,
+						  [this, done = std::move(done)]() mutable { this->WaitForIdle(std::move(done)); });
 }
 
 QJsonObject EntryServer::Dump() const
@@ -163,6 +166,6 @@
 	dump["leaving"] = this->leaving;
 	dump["slot_messages"] = static_cast<qint64>(this->broker.Counters().messages);
 	dump["slots_borrowed"] = static_cast<qint64>(this->broker.Counters().borrowed);
-	dump["frame_bytes"] = static_cast<qint64>(this->frames.Bytes() + this->mail.Bytes());
+	dump["frame_bytes"] = static_cast<qint64>(this->frames.Bytes() + this->peer_connections.Bytes());
 	return dump;
 }
--- a/src/entry/entry_server.h
+++ b/src/entry/entry_server.h
@@ -1,4 +1,4 @@
-/** @file entry_server.h The entry: carries callers' requests to endpoints. */
+/** @file entry_server.h The entry process: forwards callers' requests to endpoints. */
 #ifndef ENTRY_SERVER_H
 #define ENTRY_SERVER_H
 
@@ -6,7 +6,7 @@
 #include "credential_list.h"
 #include "keeper_client.h"
 #include "lane.h"
-#include "peer_mail.h"
+#include "peer_connections.h"
 
 /** The entry process. */
 class EntryServer : public Server {
@@ -20,24 +20,24 @@
 	[[nodiscard]] bool Healthy() const override { return !this->leaving && this->path.routes.HasView(); }
 
 private:
-	Settings settings;                        ///< Settings.
+	Settings settings;                        ///< Settings of the process.
 	QtScheduler scheduler;                    ///< Clock and timers of the main thread.
-	CredentialList credentials;               ///< Member firms.
-	RequestPath path;                         ///< Shared by all requests.
-	std::vector<std::unique_ptr<Lane>> lanes; ///< Threads that serve.
-	size_t next_lane = 0;                     ///< Next lane to get a connection.
-	CallerListener callers;                   ///< Callers connect here.
-	CallerListener peers;                     ///< Entries connect here.
-	PeerMail mail;                            ///< Connections to other entries of the zone.
-	SlotBroker broker;                        ///< Lends and borrows slots.
-	FrameServer frames;                       ///< Other entries of the zone connect here.
-	KeeperClient keeper;                      ///< The keeper.
-	StatusPage status;                        ///< For operators and the balancer.
-	bool leaving = false;                     ///< Whether a planned stop is under way.
-	Millis stop_until;                        ///< When the stop gives up waiting.
+	CredentialList credentials;               ///< Credentials of client accounts.
+	RequestPath path;                         ///< State shared by all requests.
+	std::vector<std::unique_ptr<Lane>> lanes; ///< Threads that serve connections.
+	size_t next_lane = 0;                     ///< Round-robin counter for new connections.
+	CallerListener callers;                   ///< Listener for callers.
+	CallerListener peers;                     ///< Listener for requests from other entries.
+	PeerConnections peer_connections;         ///< Connections to other entries of the zone.
+	SlotBroker broker;                        ///< Lends slots to other entries and borrows slots from them.
+	FrameServer frames;                       ///< Listener for slot messages from other entries of the zone.
+	KeeperClient keeper;                      ///< Connection to a keeper.
+	StatusPage status;                        ///< Status page for operators and health checks of the balancer.
+	bool leaving = false;                     ///< Whether a planned stop is in progress.
+	Millis stop_deadline;                     ///< Time when a planned stop ends even if requests are in progress.
 
-	void Take(qintptr descriptor, bool from_peer);
-	void TickGates();
+	void AssignConnection(qintptr descriptor, bool from_peer);
+	void UpdateGates();
 	void WaitForIdle(std::function<void()> done);
 };
 
--- a/src/entry/keeper_client.cpp
+++ b/src/entry/keeper_client.cpp
@@ -1,4 +1,4 @@
-/** @file keeper_client.cpp The entry's side of its keeper. */
+/** @file keeper_client.cpp Connection of an entry to its keeper. */
 #include "keeper_client.h"
 
 #include "../program/logging.h"
@@ -7,22 +7,23 @@
 
 namespace {
 
-constexpr Millis HELLO_TICK(500);      ///< Time between two hellos.
-constexpr Millis KEEPER_SILENCE(3000); ///< A keeper silent for so long is given up for the next.
-constexpr size_t HELLOS_KEPT = 16;     ///< Hellos whose time of sending is remembered.
+constexpr Millis HELLO_INTERVAL(500);     ///< Interval between hellos.
+constexpr Millis KEEPER_TIMEOUT(3000);    ///< The client switches to the next keeper after this time without a message.
+constexpr size_t MAX_TRACKED_HELLOS = 16; ///< Maximum number of hellos whose send time is stored.
 
 } // namespace
 
-KeeperClient::KeeperClient(Scheduler &scheduler, RequestPath &path, std::vector<NetAddress> keepers, EntryCard card)
-		: scheduler(scheduler), path(path), card(std::move(card)), client(scheduler, std::move(keepers)),
-		  heard(scheduler.Now())
+KeeperClient::KeeperClient(Scheduler &scheduler, RequestPath &path, std::vector<NetAddress> keepers,
+						   EntryDescription description)
+		: scheduler(scheduler), path(path), description(std::move(description)), client(scheduler, std::move(keepers)),
+		  last_message_at(scheduler.Now())
 {
 	this->client.on_message = [this](const MessageUnion &message) { this->OnMessage(message); };
 	this->client.on_connected = [this] {
-		this->heard = this->scheduler.Now();
+		this->last_message_at = this->scheduler.Now();
 		this->sent_at.clear();
 		LogEvent(LogLevel::LL_INFO, "keeper_connected", {});
-		this->SayHello();
+		this->SendHello();
 	};
 	this->client.on_disconnected = [this] { this->sent_at.clear(); };
 }
@@ -33,36 +34,36 @@
 	this->Tick();
 }
 
-void KeeperClient::SayLeaving()
+void KeeperClient::AnnounceLeaving()
 {
 	this->leaving = true;
-	this->SayHello();
+	this->SendHello();
 }
 
 void KeeperClient::Tick()
 {
-	if (this->client.IsConnected() && this->heard + KEEPER_SILENCE < this->scheduler.Now()) {
+	if (this->client.IsConnected() && this->last_message_at + KEEPER_TIMEOUT < this->scheduler.Now()) {
 		LogEvent(LogLevel::LL_WARNING, "keeper_silent", {});
-		this->heard = this->scheduler.Now();
+		this->last_message_at = this->scheduler.Now();
 		this->client.TryNext();
 	} else {
-		this->SayHello();
+		this->SendHello();
 	}
-	this->scheduler.After(HELLO_TICK, [this] { this->Tick(); });
+	this->scheduler.After(HELLO_INTERVAL, [this] { this->Tick(); });
 }
 
-void KeeperClient::SayHello()
+void KeeperClient::SendHello()
 {
 	if (!this->client.IsConnected()) {
 		return;
 	}
 	EntryHelloT hello;
-	hello.member = this->card.name.Value();
-	hello.incarnation = this->card.incarnation.Value();
-	hello.region = this->card.region.Value();
-	hello.zone = this->card.zone.Value();
-	hello.address = this->card.address;
-	hello.frames = this->card.frames;
+	hello.member = this->description.name.Value();
+	hello.incarnation = this->description.incarnation.Value();
+	hello.region = this->description.region.Value();
+	hello.zone = this->description.zone.Value();
+	hello.address = this->description.address;
+	hello.frames = this->description.frames;
 	std::tie(hello.view_version, hello.view_hash) = this->path.routes.Version();
 	hello.number = ++this->number;
 	hello.leaving = this->leaving;
@@ -73,7 +74,7 @@
 		}
 	}
 	this->sent_at[this->number] = this->scheduler.Now();
-	while (this->sent_at.size() > HELLOS_KEPT) {
+	while (this->sent_at.size() > MAX_TRACKED_HELLOS) {
 		this->sent_at.erase(this->sent_at.begin());
 	}
 	this->client.Send(MakeMessage(std::move(hello)));
@@ -81,7 +82,7 @@
 
 void KeeperClient::OnMessage(const MessageUnion &message)
 {
-	this->heard = this->scheduler.Now();
+	this->last_message_at = this->scheduler.Now();
 	if (const auto *view = message.AsView(); view != nullptr) {
 		this->OnView(*view);
 	} else if (const auto *grant = message.AsLeaseGrant(); grant != nullptr) {
@@ -98,8 +99,8 @@
 	} else if (first) {
 		LogEvent(LogLevel::LL_INFO, "first_view", {{"offset", std::to_string(view.offset)}});
 	}
-	/* Say at once what is in force: the lease and drains depend on it. */
-	this->SayHello();
+	/* Report the view in force without delay: leases and drains depend on it. */
+	this->SendHello();
 }
 
 void KeeperClient::OnLease(const LeaseGrantT &grant)
--- a/src/entry/keeper_client.h
+++ b/src/entry/keeper_client.h
@@ -1,4 +1,4 @@
-/** @file keeper_client.h The entry's side of its keeper: hellos, views, leases, drains. */
+/** @file keeper_client.h Connection of an entry to its keeper: hellos, views, leases, drains. */
 #ifndef KEEPER_CLIENT_H
 #define KEEPER_CLIENT_H
 
@@ -7,32 +7,33 @@
 
 #include <map>
 
-/** What an entry says of itself. */
-struct EntryCard {
-	MemberName name;         ///< Its name.
-	RegionName region;       ///< Its region.
-	ZoneName zone;           ///< Its zone.
-	std::string address;     ///< IP:port for peers.
-	std::string frames;      ///< IP:port for lending slots.
-	Incarnation incarnation; ///< Its start.
+/** Identity and addresses that an entry reports to its keeper. */
+struct EntryDescription {
+	MemberName name;         ///< Name of the entry.
+	RegionName region;       ///< Region of the entry.
+	ZoneName zone;           ///< Zone of the entry.
+	std::string address;     ///< IP:port for requests from other entries.
+	std::string frames;      ///< IP:port for slot messages.
+	Incarnation incarnation; ///< Identifies this start of the process.
 };
 
-/** Speaks to one keeper of the zone at a time, and goes to the next when it falls silent. */
+/** Connects to one keeper of the zone at a time, and to the next one when it stops responding. */
 class KeeperClient {
 public:
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param path Gets views and leases; outlives this.
+	 * @param path Receives views and leases; outlives this.
 	 * @param keepers Addresses of keepers, nearest first.
-	 * @param card Who this entry is.
+	 * @param description Identity and addresses of this entry.
 	 */
-	KeeperClient(Scheduler &scheduler, RequestPath &path, std::vector<NetAddress> keepers, EntryCard card);
+	KeeperClient(Scheduler &scheduler, RequestPath &path, std::vector<NetAddress> keepers,
+				 EntryDescription description);
 
-	/** Begins. */
+	/** Connects and starts sending hellos. */
 	void Start();
 
-	/** Says from now on that this entry leaves. */
-	void SayLeaving();
+	/** Sends a hello that marks this entry as leaving; all later hellos do so too. */
+	void AnnounceLeaving();
 
 	/** @return Whether a keeper is connected. */
 	[[nodiscard]] bool Connected() const { return this->client.IsConnected(); }
@@ -42,16 +43,16 @@
 
 private:
 	Scheduler &scheduler;               ///< Clock and timers.
-	RequestPath &path;                  ///< Gets views and leases.
-	EntryCard card;                     ///< Who this entry is.
+	RequestPath &path;                  ///< Receives views and leases.
+	EntryDescription description;       ///< Identity and addresses of this entry.
 	FrameClient client;                 ///< The connection.
-	uint64_t number = 0;                ///< Last hello.
-	std::map<uint64_t, Millis> sent_at; ///< When hellos without an answer were sent: a lease counts from there.
-	Millis heard;                       ///< When the keeper last spoke.
-	bool leaving = false;               ///< Whether this entry leaves.
+	uint64_t number = 0;                ///< Number of the last hello.
+	std::map<uint64_t, Millis> sent_at; ///< Send time of recent hellos by number: a lease counts from the send time.
+	Millis last_message_at;             ///< Time of the keeper's last message.
+	bool leaving = false;               ///< Whether this entry is leaving.
 
 	void Tick();
-	void SayHello();
+	void SendHello();
 	void OnMessage(const MessageUnion &message);
 	void OnView(const glade::wire::ViewT &view);
 	void OnLease(const glade::wire::LeaseGrantT &grant);
--- a/src/entry/lane.cpp
+++ b/src/entry/lane.cpp
@@ -1,4 +1,4 @@
-/** @file lane.cpp A thread of an entry. */
+/** @file lane.cpp A worker thread of an entry. */
 #include "lane.h"
 
 #include <QPointer>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Serves requests by exchanges. */
+/** Serves each request with an Exchange. */
 class ExchangeHandler : public RequestHandler {
 public:
 	ExchangeHandler(QtScheduler &scheduler, RequestPath &path, EndpointDialer &dialer)
@@ -26,46 +26,46 @@
 
 private:
 	QtScheduler &scheduler; ///< Clock and timers.
-	RequestPath &path;      ///< Shared by all requests.
-	EndpointDialer &dialer; ///< Starts calls.
+	RequestPath &path;      ///< State shared by all requests.
+	EndpointDialer &dialer; ///< Starts calls to endpoints.
 };
 
 } // namespace
 
-struct LaneParts {
-	LaneParts(RequestPath &path, DialLimits dial)
+struct LaneState {
+	LaneState(RequestPath &path, DialLimits dial)
 			: dialer(this->scheduler, dial), handler(this->scheduler, path, this->dialer)
 	{
 	}
 
 	QtScheduler scheduler;                   ///< Clock and timers.
-	QtDialer dialer;                         ///< Starts calls.
-	ExchangeHandler handler;                 ///< Serves requests.
-	std::vector<QPointer<CallerLink>> links; ///< Connections, some gone.
+	QtDialer dialer;                         ///< Starts calls to endpoints.
+	ExchangeHandler handler;                 ///< Serves the requests.
+	std::vector<QPointer<CallerLink>> links; ///< Connections; null once deleted.
 };
 
 Lane::Lane(RequestPath &path, CallerLimits callers, CallerLimits peers, DialLimits dial)
 		: path(path), callers(callers), peers(peers), dial(dial)
 {
 	this->peers.from_peers = true;
-	this->anchor.moveToThread(&this->thread);
+	this->receiver.moveToThread(&this->thread);
 	this->thread.start();
 	QMetaObject::invokeMethod(
-			&this->anchor, [this] { this->parts = new LaneParts(this->path, this->dial); },
+			&this->receiver, [this] { this->state = new LaneState(this->path, this->dial); },
 			Qt::BlockingQueuedConnection);
 }
 
 Lane::~Lane()
 {
 	QMetaObject::invokeMethod(
-			&this->anchor,
+			&this->receiver,
 			[this] {
-				for (const QPointer<CallerLink> &link : this->parts->links) {
+				for (const QPointer<CallerLink> &link : this->state->links) {
 					delete link.data();
 				}
-				this->parts->links.clear();
-				delete this->parts;
-				this->parts = nullptr;
+				this->state->links.clear();
+				delete this->state;
+				this->state = nullptr;
 			},
 			Qt::BlockingQueuedConnection);
 	this->thread.quit();
@@ -74,18 +74,18 @@
 
 void Lane::AddConnection(qintptr descriptor, bool from_peer)
 {
-	this->parts->scheduler.Post([this, descriptor, from_peer] {
-		auto &links = this->parts->links;
+	this->state->scheduler.Post([this, descriptor, from_peer] {
+		auto &links = this->state->links;
 		std::erase_if(links, [](const QPointer<CallerLink> &it) { return it.isNull(); });
-		links.emplace_back(new CallerLink(this->parts->scheduler, this->parts->handler,
-										  from_peer ? this->peers : this->callers, this->open, descriptor));
+		links.emplace_back(new CallerLink(this->state->scheduler, this->state->handler,
+										  from_peer ? this->peers : this->callers, this->open_connections, descriptor));
 	});
 }
 
 void Lane::CloseIdle()
 {
-	this->parts->scheduler.Post([this] {
-		for (const QPointer<CallerLink> &link : this->parts->links) {
+	this->state->scheduler.Post([this] {
+		for (const QPointer<CallerLink> &link : this->state->links) {
 			if (link) {
 				link->CloseIfIdle();
 			}
@@ -95,5 +95,5 @@
 
 void Lane::RunOnThread(const std::function<void()> &run)
 {
-	QMetaObject::invokeMethod(&this->anchor, run, Qt::BlockingQueuedConnection);
+	QMetaObject::invokeMethod(&this->receiver, run, Qt::BlockingQueuedConnection);
 }
--- a/src/entry/lane.h
+++ b/src/entry/lane.h
@@ -1,4 +1,4 @@
-/** @file lane.h A thread of an entry: its event loop, its connections, its calls. */
+/** @file lane.h A worker thread of an entry, with its event loop, connections and calls. */
 #ifndef LANE_H
 #define LANE_H
 
@@ -10,54 +10,54 @@
 
 #include <future>
 
-/** What connections of a lane need; made and destroyed on the lane's thread. */
-struct LaneParts;
+/** State of a lane; created and destroyed on the lane's thread. */
+struct LaneState;
 
-/** One thread that serves connections. Connections are handed over from the listeners' thread. */
+/** A worker thread that serves connections accepted on the listeners' thread. */
 class Lane {
 public:
 	/**
 	 * Starts the thread.
-	 * @param path Shared by all requests; outlives this.
-	 * @param callers Limits of callers' connections.
-	 * @param peers Limits of peers' connections.
+	 * @param path State shared by all requests; outlives this.
+	 * @param callers Limits of connections from callers.
+	 * @param peers Limits of connections from peers.
 	 * @param dial Limits of connections to endpoints.
 	 */
 	Lane(RequestPath &path, CallerLimits callers, CallerLimits peers, DialLimits dial);
 
-	/** Ends the thread. */
+	/** Closes all connections and stops the thread. */
 	~Lane();
 	Lane(const Lane &) = delete;
 	Lane &operator=(const Lane &) = delete;
 
 	/**
-	 * Takes over an accepted socket.
+	 * Takes ownership of an accepted socket.
 	 * @param descriptor The socket.
-	 * @param from_peer Whether an entry has connected.
+	 * @param from_peer Whether the other end is an entry.
 	 */
 	void AddConnection(qintptr descriptor, bool from_peer);
 
-	/** Closes connections that have nothing under way. */
+	/** Closes connections without a request in progress. */
 	void CloseIdle();
 
 	/**
-	 * Runs a function on the lane's thread and waits for it.
+	 * Runs a function on the lane's thread and blocks until it returns.
 	 * @param run The function.
 	 */
 	void RunOnThread(const std::function<void()> &run);
 
-	/** @return Callers' and peers' connections. */
-	[[nodiscard]] int Connections() const { return this->open; }
+	/** @return Number of open connections from callers and peers. */
+	[[nodiscard]] int Connections() const { return this->open_connections; }
 
 private:
-	RequestPath &path;          ///< Shared by all requests.
-	CallerLimits callers;       ///< Limits of callers' connections.
-	CallerLimits peers;         ///< Limits of peers' connections.
-	DialLimits dial;            ///< Limits of connections to endpoints.
-	std::atomic<int> open{0};   ///< Connections.
-	QThread thread;             ///< The thread.
-	QObject anchor;             ///< Lives on the thread: calls to it run there.
-	LaneParts *parts = nullptr; ///< Lives on the thread.
+	RequestPath &path;                    ///< State shared by all requests.
+	CallerLimits callers;                 ///< Limits of connections from callers.
+	CallerLimits peers;                   ///< Limits of connections from peers.
+	DialLimits dial;                      ///< Limits of connections to endpoints.
+	std::atomic<int> open_connections{0}; ///< Number of open connections.
+	QThread thread;                       ///< The thread.
+	QObject receiver;                     ///< Lives on the thread; functions invoked on it run there.
+	LaneState *state = nullptr;           ///< State, used on the thread only.
 };
 
 #endif /* LANE_H */
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp glade_entry: carries callers' requests to endpoints. */
+/** @file main.cpp glade_entry: forwards callers' requests to endpoints. */
 #include "../program/settings_tables.h"
 #include "entry_server.h"
 
--- a/src/net/address_func.cpp
+++ b/src/net/address_func.cpp
@@ -6,8 +6,8 @@
 std::string NetAddress::Text() const
 {
 	const std::string host = this->ip.toString().toStdString();
-	const bool six = this->ip.protocol() == QAbstractSocket::IPv6Protocol;
-	return (six ? "[" + host + "]" : host) + ":" + std::to_string(this->port);
+	const bool ipv6 = this->ip.protocol() == QAbstractSocket::IPv6Protocol;
+	return (ipv6 ? "[" + host + "]" : host) + ":" + std::to_string(this->port);
 }
 
 std::optional<NetAddress> ParseAddress(const std::string &text)
--- a/src/net/address_func.h
+++ b/src/net/address_func.h
@@ -1,4 +1,4 @@
-/** @file address_func.h IP addresses with ports, as settings and records write them. */
+/** @file address_func.h IP addresses with ports, as written in settings and records. */
 #ifndef ADDRESS_FUNC_H
 #define ADDRESS_FUNC_H
 
@@ -9,17 +9,17 @@
 
 /** An IP address and a port. */
 struct NetAddress {
-	QHostAddress ip;  ///< IP number; names are not resolved.
-	quint16 port = 0; ///< Port; 0 lets the system choose when listening.
+	QHostAddress ip;  ///< IP address; host names are not resolved.
+	quint16 port = 0; ///< Port; 0 lets the system choose one when listening.
 
-	/** @return IP:port. */
+	/** @return "IP:port", or "[IPv6]:port". */
 	[[nodiscard]] std::string Text() const;
 };
 
 /**
- * Reads IP:port, or [IPv6]:port.
+ * Parses "IP:port" or "[IPv6]:port".
  * @param text The text.
- * @return The address, or nothing.
+ * @return The address, or nothing if the text is not valid.
  */
 std::optional<NetAddress> ParseAddress(const std::string &text);
 
--- a/src/net/caller_link.cpp
+++ b/src/net/caller_link.cpp
@@ -1,22 +1,23 @@
-/** @file caller_link.cpp Connections of callers. */
+/** @file caller_link.cpp Server side of HTTP connections. */
 #include "caller_link.h"
 
 #include <QPointer>
 
 namespace {
 
-constexpr qint64 READ_BUFFER = 64 * 1024; ///< Bytes that Qt reads ahead; more stays with the caller's TCP.
+constexpr qint64 READ_BUFFER_BYTES = 64 * 1024; ///< Size of Qt's read buffer; once full, TCP slows the caller.
 
 } // namespace
 
 CallerLink::CallerLink(QtScheduler &scheduler, RequestHandler &handler, const CallerLimits &limits,
-					   std::atomic<int> &open, qintptr descriptor)
-		: scheduler(scheduler), handler(handler), limits(limits), open(open), reader(limits.http)
+					   std::atomic<int> &open_connections, qintptr descriptor)
+		: scheduler(scheduler), handler(handler), limits(limits), open_connections(open_connections),
+		  reader(limits.http)
 {
-	this->open++;
-	this->socket.setReadBufferSize(READ_BUFFER);
+	this->open_connections++;
+	this->socket.setReadBufferSize(READ_BUFFER_BYTES);
 	QObject::connect(&this->socket, &QTcpSocket::readyRead, this, [this] { this->OnReadable(); });
-	QObject::connect(&this->socket, &QTcpSocket::disconnected, this, [this] { this->OnGone(); });
+	QObject::connect(&this->socket, &QTcpSocket::disconnected, this, [this] { this->OnDisconnected(); });
 	QObject::connect(&this->socket, &QTcpSocket::bytesWritten, this, [this] {
 		if (this->served && !this->Congested()) {
 			this->served->OnCallerWritable();
@@ -27,30 +28,30 @@
 		return;
 	}
 	this->socket.setSocketOption(QAbstractSocket::LowDelayOption, 1);
-	this->Arm();
+	this->ArmTimer();
 }
 
 CallerLink::~CallerLink()
 {
-	this->open--;
+	this->open_connections--;
 	this->scheduler.Cancel(this->timer);
 	if (this->served) {
 		this->served->OnCallerDisconnected();
 	}
 }
 
-void CallerLink::OnGone()
+void CallerLink::OnDisconnected()
 {
 	if (this->served) {
-		const auto gone = std::move(this->served);
-		gone->OnCallerDisconnected();
+		const auto abandoned = std::move(this->served);
+		abandoned->OnCallerDisconnected();
 	}
 	this->deleteLater();
 }
 
-void CallerLink::Arm()
+void CallerLink::ArmTimer()
 {
-	/* The wait runs from the first byte of a head, or of a body; more bytes do not stretch it. */
+	/* The timeout counts from the first byte of the head or body; later bytes do not extend it. */
 	const bool for_body = this->reader.HeadDone();
 	if (this->timer != TimerId() && this->timer_for_body == for_body && this->reader.HasPartialRequest()) {
 		return;
@@ -63,10 +64,10 @@
 	} else if (this->reader.HasPartialRequest()) {
 		wait = this->limits.head_wait;
 	}
-	this->timer = this->scheduler.After(wait, [this] { this->OnWait(); });
+	this->timer = this->scheduler.After(wait, [this] { this->OnTimeout(); });
 }
 
-void CallerLink::OnWait()
+void CallerLink::OnTimeout()
 {
 	this->timer = TimerId();
 	if (this->busy) {
@@ -76,13 +77,13 @@
 		this->socket.disconnectFromHost();
 		return;
 	}
-	this->RefuseBad(ResultCode::RC_CALLER_TOO_SLOW);
+	this->RejectRequest(ResultCode::RC_CALLER_TOO_SLOW);
 }
 
 void CallerLink::OnReadable()
 {
 	if (this->busy || this->closing) {
-		return; /* What a caller sends ahead stays in the socket's buffer until its turn. */
+		return; /* Pipelined requests stay in the socket's buffer until the current one has been answered. */
 	}
 	const bool was_idle = !this->reader.HasPartialRequest();
 	const QByteArray data = this->socket.readAll();
@@ -91,10 +92,10 @@
 		this->scheduler.Cancel(this->timer);
 		this->timer = TimerId();
 	}
-	this->Advance();
+	this->ServeBuffered();
 }
 
-void CallerLink::Advance()
+void CallerLink::ServeBuffered()
 {
 	while (!this->busy && !this->closing && this->ServeNext()) {
 	}
@@ -104,14 +105,14 @@
 {
 	switch (this->reader.Parse()) {
 	case ParseProgress::PR_MORE:
-		this->Arm();
+		this->ArmTimer();
 		return false;
 	case ParseProgress::PR_CONTINUE:
 		this->Write("HTTP/1.1 100 Continue\r\n\r\n");
-		this->Arm();
+		this->ArmTimer();
 		return false;
 	case ParseProgress::PR_BAD:
-		this->RefuseBad(this->reader.Error());
+		this->RejectRequest(this->reader.Error());
 		return false;
 	case ParseProgress::PR_READY:
 		break;
@@ -123,18 +124,18 @@
 	this->head_request = request.method == "HEAD";
 	this->busy = true;
 	this->serving = true;
-	std::shared_ptr<ServedRequest> now = this->handler.Serve(*this, std::move(request));
+	std::shared_ptr<ServedRequest> started = this->handler.Serve(*this, std::move(request));
 	this->serving = false;
 	if (this->busy) {
-		this->served = std::move(now);
+		this->served = std::move(started);
 		return false;
 	}
 	return true;
 }
 
-void CallerLink::RefuseBad(ResultCode code)
+void CallerLink::RejectRequest(ResultCode code)
 {
-	/* After a bad request nothing on the connection can be trusted: answer and close. */
+	/* The start of the next request is unknown after an invalid one: answer and close. */
 	this->busy = true;
 	this->closing = true;
 	ResponseHead head;
@@ -181,7 +182,7 @@
 	if (this->framing == BodyFraming::BF_CHUNKS && !this->head_request) {
 		this->Write(FinalChunk());
 	}
-	/* At once, not with the next turn of the event loop. */
+	/* Send now instead of in the next event loop iteration. */
 	this->socket.flush();
 	this->served.reset();
 	this->busy = false;
@@ -191,14 +192,14 @@
 		return;
 	}
 	if (!this->serving) {
-		this->scheduler.Post([this, still = QPointer<CallerLink>(this)] {
-			if (still && !this->busy) {
-				this->Arm();
+		this->scheduler.Post([this, self = QPointer<CallerLink>(this)] {
+			if (self && !this->busy) {
+				this->ArmTimer();
 				this->OnReadable();
 			}
 		});
 	} else {
-		this->Arm();
+		this->ArmTimer();
 	}
 }
 
@@ -207,13 +208,13 @@
 	this->served.reset();
 	this->busy = false;
 	this->closing = true;
-	/* A reset, not an orderly end: a caller that reads until the connection closes must see the difference. */
+	/* Reset instead of an orderly close: a caller that reads until the connection closes must notice the truncation. */
 	this->socket.abort();
 }
 
 bool CallerLink::Congested() const
 {
-	return this->socket.bytesToWrite() > this->limits.answer_buffer;
+	return this->socket.bytesToWrite() > this->limits.response_buffer_bytes;
 }
 
 void CallerLink::CloseIfIdle()
--- a/src/net/caller_link.h
+++ b/src/net/caller_link.h
@@ -1,4 +1,4 @@
-/** @file caller_link.h Connections of callers: HTTP in, one request at a time, answers streamed with back pressure. */
+/** @file caller_link.h Server side of HTTP connections: one request at a time, responses with back pressure. */
 #ifndef CALLER_LINK_H
 #define CALLER_LINK_H
 
@@ -10,28 +10,28 @@
 
 #include <atomic>
 
-/** Limits of callers' connections. */
+/** Limits of connections from callers. */
 struct CallerLimits {
-	HttpLimits http;                    ///< Of messages.
-	Millis head_wait = Millis(10000);   ///< A head that is not whole by then is refused.
-	Millis body_wait = Millis(30000);   ///< The same for a body.
-	Millis idle_wait = Millis(60000);   ///< A connection idle for so long is closed.
-	int64_t answer_buffer = 256 * 1024; ///< Bytes of an answer waiting for the caller that stop the endpoint.
-	bool from_peers = false;            ///< Whether the callers are entries.
+	HttpLimits http;                            ///< Message size limits.
+	Millis head_wait = Millis(10000);           ///< Time limit for a complete request head.
+	Millis body_wait = Millis(30000);           ///< Time limit for a complete request body.
+	Millis idle_wait = Millis(60000);           ///< An idle connection is closed after this time.
+	int64_t response_buffer_bytes = 256 * 1024; ///< Unsent response bytes above which reading from the endpoint pauses.
+	bool from_peers = false;                    ///< Whether the callers are other entries.
 };
 
-/** A caller's connection. Deletes itself when the connection is gone. */
+/** A connection from a caller. Deletes itself when the connection is closed. */
 class CallerLink : public QObject, public CallerSink {
 public:
 	/**
 	 * @param scheduler Clock and timers of this thread.
 	 * @param handler Serves the requests; outlives this.
-	 * @param limits Limits.
-	 * @param open Counts connections.
+	 * @param limits Limits; outlive this.
+	 * @param open_connections Count of open connections.
 	 * @param descriptor The accepted socket.
 	 */
-	CallerLink(QtScheduler &scheduler, RequestHandler &handler, const CallerLimits &limits, std::atomic<int> &open,
-			   qintptr descriptor);
+	CallerLink(QtScheduler &scheduler, RequestHandler &handler, const CallerLimits &limits,
+			   std::atomic<int> &open_connections, qintptr descriptor);
 	~CallerLink() override;
 
 	void Begin(const ResponseHead &head) override;
@@ -40,48 +40,48 @@
 	void Abort() override;
 	[[nodiscard]] bool Congested() const override;
 
-	/** Closes the connection if nothing is under way on it. */
+	/** Closes the connection unless a request is in progress or partly received. */
 	void CloseIfIdle();
 
 private:
 	QtScheduler &scheduler;                       ///< Clock and timers.
 	RequestHandler &handler;                      ///< Serves the requests.
 	const CallerLimits &limits;                   ///< Limits.
-	std::atomic<int> &open;                       ///< Counts connections.
+	std::atomic<int> &open_connections;           ///< Count of open connections.
 	QTcpSocket socket;                            ///< The connection.
-	RequestReader reader;                         ///< Reads requests.
-	std::shared_ptr<ServedRequest> served;        ///< Request under way.
-	bool busy = false;                            ///< Whether an answer is owed.
+	RequestReader reader;                         ///< Parses requests.
+	std::shared_ptr<ServedRequest> served;        ///< Request in progress.
+	bool busy = false;                            ///< Whether a request awaits its complete response.
 	bool serving = false;                         ///< Whether Serve() is on the stack.
-	bool closing = false;                         ///< Whether the connection ends with this answer.
-	bool head_request = false;                    ///< Whether the request under way is HEAD.
-	BodyFraming framing = BodyFraming::BF_LENGTH; ///< Framing of the answer under way.
-	TimerId timer;                                ///< Head, body or idle wait.
-	bool timer_for_body = false;                  ///< Whether the timer counts the body's wait.
+	bool closing = false;                         ///< Whether the connection closes after this response.
+	bool head_request = false;                    ///< Whether the response in progress has no body.
+	BodyFraming framing = BodyFraming::BF_LENGTH; ///< Body framing of the response in progress.
+	TimerId timer;                                ///< Head, body or idle timeout.
+	bool timer_for_body = false;                  ///< Whether the timer runs for a body.
 
 	void OnReadable();
-	void Advance();
+	void ServeBuffered();
 	bool ServeNext();
-	void RefuseBad(ResultCode code);
-	void Arm();
-	void OnWait();
-	void OnGone();
+	void RejectRequest(ResultCode code);
+	void ArmTimer();
+	void OnTimeout();
+	void OnDisconnected();
 	void Write(std::string_view data);
 };
 
-/** Accepts connections and spreads them over lanes. */
+/** Listening socket that hands accepted descriptors to a callback. */
 class CallerListener : public QTcpServer {
 public:
 	using Accept = std::function<void(qintptr)>;
 
-	/** @param accept Gets each accepted socket, on the listener's thread. */
+	/** @param accept Called with each accepted descriptor, on the listener's thread. */
 	explicit CallerListener(Accept accept) : accept(std::move(accept)) {}
 
 protected:
 	void incomingConnection(qintptr descriptor) override { this->accept(descriptor); }
 
 private:
-	Accept accept; ///< Gets each accepted socket.
+	Accept accept; ///< Called with each accepted descriptor.
 };
 
 #endif /* CALLER_LINK_H */
--- a/src/net/endpoint_link.cpp
+++ b/src/net/endpoint_link.cpp
@@ -1,4 +1,4 @@
-/** @file endpoint_link.cpp Connections to endpoints and peers. */
+/** @file endpoint_link.cpp Client connections to endpoints and peers. */
 #include "endpoint_link.h"
 
 #include "address_func.h"
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr qint64 READ_BUFFER = 256 * 1024; ///< Bytes that Qt reads ahead; more stays with the endpoint's TCP.
+constexpr qint64 READ_BUFFER_BYTES = 256 * 1024; ///< Size of Qt's read buffer; once full, TCP slows the endpoint.
 
 /**
- * Hands a socket to Qt for deletion, without further signals.
+ * Aborts a socket and deletes it later, without further signals.
  * @param socket The socket.
  */
 void Discard(QTcpSocket *socket)
@@ -22,7 +22,7 @@
 	socket->deleteLater();
 }
 
-/** A call over one connection. */
+/** A call on one connection. */
 class QtCall : public EndpointCall, public ResponseHandler {
 public:
 	QtCall(QtScheduler &scheduler, QtDialer &dialer, std::string address, const CallerRequest &request,
@@ -40,38 +40,38 @@
 		}
 	}
 
-	/** Sends over a connection that stands. */
-	void StartOn(QTcpSocket *ready)
+	/** Sends the request on an established connection. @param reused The connection. */
+	void StartOnConnection(QTcpSocket *reused)
 	{
-		this->socket = ready;
-		this->Wire();
-		/* No event may come from inside Start(): what closes meanwhile is told later. */
+		this->socket = reused;
+		this->ConnectSignals();
+		/* Start() must not report events: a disconnect during the write is handled later. */
 		this->starting = true;
-		this->SendNow();
+		this->SendRequest();
 		this->starting = false;
 	}
 
-	/** Connects, then sends. */
-	void StartNew()
+	/** Opens a connection, then sends the request. */
+	void StartNewConnection()
 	{
 		const std::optional<NetAddress> to = ParseAddress(this->address);
 		this->socket = new QTcpSocket;
-		this->Wire();
+		this->ConnectSignals();
 		this->timer = this->scheduler.After(this->dialer.Limits().connect_wait, [this] { this->Fail(); });
 		if (to) {
-			QObject::connect(this->socket, &QTcpSocket::connected, this->socket, [this] { this->SendNow(); });
+			QObject::connect(this->socket, &QTcpSocket::connected, this->socket, [this] { this->SendRequest(); });
 			this->socket->connectToHost(to->ip, to->port);
 		}
 	}
 
-	void SetPaused(bool stop) override
+	void SetPaused(bool pause) override
 	{
-		if (this->paused == stop) {
+		if (this->paused == pause) {
 			return;
 		}
-		this->paused = stop;
-		if (!stop) {
-			this->Later([this] { this->OnReadable(); });
+		this->paused = pause;
+		if (!pause) {
+			this->Defer([this] { this->OnReadable(); });
 		}
 	}
 
@@ -92,32 +92,32 @@
 	}
 
 private:
-	QtScheduler &scheduler;                                     ///< Clock and timers.
-	QtDialer &dialer;                                           ///< Takes the connection back.
-	std::string address;                                        ///< IP:port.
-	CallEvents *events;                                         ///< Gets what happens; null once abandoned.
-	std::string bytes;                                          ///< The request.
-	ResponseReader reader;                                      ///< Reads the answer.
-	QTcpSocket *socket = nullptr;                               ///< The connection.
-	bool sent = false;                                          ///< Whether a byte was offered to the socket.
-	bool paused = false;                                        ///< Whether reading is stopped.
-	bool starting = false;                                      ///< Whether Start() is on the stack.
-	TimerId timer;                                              ///< Connection wait.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires with this.
+	QtScheduler &scheduler;       ///< Clock and timers.
+	QtDialer &dialer;             ///< Pools the connection after the call.
+	std::string address;          ///< IP:port.
+	CallEvents *events;           ///< Receives the call's events; null after the call has ended or been abandoned.
+	std::string bytes;            ///< The serialized request.
+	ResponseReader reader;        ///< Parses the response.
+	QTcpSocket *socket = nullptr; ///< The connection.
+	bool sent = false;            ///< Whether the request was written to the socket.
+	bool paused = false;          ///< Whether reading is paused.
+	bool starting = false;        ///< Whether Start() is on the stack.
+	TimerId timer;                ///< Connection timeout.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires when this is destroyed.
 
-	/** Runs a function when the lane is free, if this is still there. */
-	void Later(std::function<void()> run)
+	/** Runs a function from the event loop, unless this is destroyed first. @param run The function. */
+	void Defer(std::function<void()> run)
 	{
-		this->scheduler.Post([still = std::weak_ptr<bool>(this->alive), run = std::move(run)] {
-			if (!still.expired()) {
+		this->scheduler.Post([weak_alive = std::weak_ptr<bool>(this->alive), run = std::move(run)] {
+			if (!weak_alive.expired()) {
 				run();
 			}
 		});
 	}
 
-	void Wire()
+	void ConnectSignals()
 	{
-		this->socket->setReadBufferSize(READ_BUFFER);
+		this->socket->setReadBufferSize(READ_BUFFER_BYTES);
 		QObject::connect(this->socket, &QTcpSocket::readyRead, this->socket, [this] { this->OnReadable(); });
 		QObject::connect(this->socket, &QTcpSocket::stateChanged, this->socket,
 						 [this](QAbstractSocket::SocketState state) {
@@ -127,12 +127,12 @@
 						 });
 	}
 
-	void SendNow()
+	void SendRequest()
 	{
 		this->scheduler.Cancel(this->timer);
 		this->timer = TimerId();
 		if (this->socket->state() != QAbstractSocket::ConnectedState) {
-			this->Later([this] { this->Fail(); });
+			this->Defer([this] { this->Fail(); });
 			return;
 		}
 		this->socket->setSocketOption(QAbstractSocket::LowDelayOption, 1);
@@ -146,15 +146,15 @@
 		if (this->paused || this->socket == nullptr || this->events == nullptr) {
 			return;
 		}
-		const std::weak_ptr<bool> still = this->alive;
+		const std::weak_ptr<bool> weak_alive = this->alive;
 		const QByteArray data = this->socket->readAll();
-		const bool good =
+		const bool valid =
 				this->reader.Read(std::string_view(data.constData(), static_cast<size_t>(data.size())), *this);
-		if (still.expired()) {
+		if (weak_alive.expired()) {
 			return;
 		}
-		if (!good) {
-			this->Report(CallFailure::CF_MALFORMED);
+		if (!valid) {
+			this->ReportFailure(CallFailure::CF_MALFORMED);
 		} else if (this->reader.Done()) {
 			this->Complete();
 		}
@@ -166,10 +166,10 @@
 			return;
 		}
 		if (this->starting) {
-			this->Later([this] { this->OnClosed(); });
+			this->Defer([this] { this->OnClosed(); });
 			return;
 		}
-		/* What came before the end is read even when reading is paused: the end itself can't wait. */
+		/* Read the remaining data even while paused: the disconnect must be handled now. */
 		this->paused = false;
 		if (this->sent && this->socket->bytesAvailable() > 0) {
 			this->OnReadable();
@@ -187,9 +187,9 @@
 	void Fail()
 	{
 		if (!this->sent) {
-			this->Report(CallFailure::CF_NOT_CONNECTED);
+			this->ReportFailure(CallFailure::CF_NOT_CONNECTED);
 		} else {
-			this->Report(this->reader.HeadDone() ? CallFailure::CF_TRUNCATED : CallFailure::CF_NO_RESPONSE);
+			this->ReportFailure(this->reader.HeadDone() ? CallFailure::CF_TRUNCATED : CallFailure::CF_NO_RESPONSE);
 		}
 	}
 
@@ -197,27 +197,27 @@
 	{
 		QTcpSocket *done = std::exchange(this->socket, nullptr);
 		done->disconnect();
-		const bool usable = this->reader.KeepAlive() && !this->reader.HasExcess() &&
-							done->state() == QAbstractSocket::ConnectedState && done->bytesAvailable() == 0;
-		if (usable) {
-			this->dialer.Keep(this->address, done);
+		const bool reusable = this->reader.KeepAlive() && !this->reader.HasExcess() &&
+							  done->state() == QAbstractSocket::ConnectedState && done->bytesAvailable() == 0;
+		if (reusable) {
+			this->dialer.KeepIdle(this->address, done);
 		} else {
 			Discard(done);
 		}
-		if (CallEvents *told = std::exchange(this->events, nullptr); told != nullptr) {
-			told->OnResponseEnd();
+		if (CallEvents *receiver = std::exchange(this->events, nullptr); receiver != nullptr) {
+			receiver->OnResponseEnd();
 		}
 	}
 
-	void Report(CallFailure failure)
+	void ReportFailure(CallFailure failure)
 	{
 		this->scheduler.Cancel(this->timer);
 		this->timer = TimerId();
 		if (this->socket != nullptr) {
 			Discard(std::exchange(this->socket, nullptr));
 		}
-		if (CallEvents *told = std::exchange(this->events, nullptr); told != nullptr) {
-			told->OnCallFailed(failure);
+		if (CallEvents *receiver = std::exchange(this->events, nullptr); receiver != nullptr) {
+			receiver->OnCallFailed(failure);
 		}
 	}
 };
@@ -231,10 +231,10 @@
 	}
 }
 
-QTcpSocket *QtDialer::Reuse(const std::string &address)
+QTcpSocket *QtDialer::TakeIdle(const std::string &address)
 {
 	auto &list = this->idle[address];
-	/* The newest first: the oldest may be about to be closed by the endpoint. */
+	/* Newest first: the endpoint closes the oldest ones first. */
 	while (!list.empty()) {
 		const Idle it = list.back();
 		list.pop_back();
@@ -248,7 +248,7 @@
 	return nullptr;
 }
 
-void QtDialer::Forget(const std::string &address, QTcpSocket *socket)
+void QtDialer::RemoveIdle(const std::string &address, QTcpSocket *socket)
 {
 	auto &list = this->idle[address];
 	const auto it = std::ranges::find(list, socket, &Idle::socket);
@@ -258,27 +258,27 @@
 	}
 }
 
-void QtDialer::Keep(const std::string &address, QTcpSocket *socket)
+void QtDialer::KeepIdle(const std::string &address, QTcpSocket *socket)
 {
 	auto &list = this->idle[address];
-	if (list.size() >= this->limits.idle_each) {
+	if (list.size() >= this->limits.idle_per_endpoint) {
 		Discard(list.front().socket);
 		list.pop_front();
 	}
 	list.push_back(Idle{socket, this->scheduler.Now()});
-	const auto forget = [this, address, socket] { this->Forget(address, socket); };
-	QObject::connect(socket, &QTcpSocket::readyRead, socket, forget);
-	QObject::connect(socket, &QTcpSocket::disconnected, socket, forget);
+	const auto remove_idle = [this, address, socket] { this->RemoveIdle(address, socket); };
+	QObject::connect(socket, &QTcpSocket::readyRead, socket, remove_idle);
+	QObject::connect(socket, &QTcpSocket::disconnected, socket, remove_idle);
 }
 
 std::unique_ptr<EndpointCall> QtDialer::Start(const std::string &address, const CallerRequest &request,
 											  CallEvents &events)
 {
 	auto call = std::make_unique<QtCall>(this->scheduler, *this, address, request, events);
-	if (QTcpSocket *ready = this->Reuse(address); ready != nullptr) {
-		call->StartOn(ready);
+	if (QTcpSocket *reused = this->TakeIdle(address); reused != nullptr) {
+		call->StartOnConnection(reused);
 	} else {
-		call->StartNew();
+		call->StartNewConnection();
 	}
 	return call;
 }
--- a/src/net/endpoint_link.h
+++ b/src/net/endpoint_link.h
@@ -1,4 +1,5 @@
-/** @file endpoint_link.h Connections to endpoints and peers: one request at a time, never sent twice by themselves. */
+/** @file endpoint_link.h Client connections to endpoints and peers: one request at a time, never retried automatically.
+ */
 #ifndef ENDPOINT_LINK_H
 #define ENDPOINT_LINK_H
 
@@ -12,12 +13,12 @@
 
 /** Limits of connections to endpoints. */
 struct DialLimits {
-	Millis connect_wait = Millis(1000); ///< A connection that does not stand by then failed.
-	Millis idle_wait = Millis(4000);    ///< Idle connections are kept this long: less than endpoints usually do.
-	size_t idle_each = 4;               ///< Idle connections kept per endpoint and lane.
+	Millis connect_wait = Millis(1000); ///< Time limit for establishing a connection.
+	Millis idle_wait = Millis(4000);    ///< Idle connections are not reused after this: endpoints usually wait longer.
+	size_t idle_per_endpoint = 4;       ///< Idle connections kept per endpoint and lane.
 };
 
-/** Starts calls from one lane and keeps idle connections. */
+/** Starts the calls of one lane and pools idle connections. */
 class QtDialer : public EndpointDialer {
 public:
 	/**
@@ -31,11 +32,11 @@
 										CallEvents &events) override;
 
 	/**
-	 * Keeps a connection for the next call to its endpoint.
+	 * Returns a connection to the pool for the next call to its endpoint.
 	 * @param address IP:port.
-	 * @param socket The connection; owned from now on.
+	 * @param socket The connection; ownership passes to the pool.
 	 */
-	void Keep(const std::string &address, QTcpSocket *socket);
+	void KeepIdle(const std::string &address, QTcpSocket *socket);
 
 	/** @return Limits. */
 	[[nodiscard]] const DialLimits &Limits() const { return this->limits; }
@@ -44,15 +45,15 @@
 	/** An idle connection. */
 	struct Idle {
 		QTcpSocket *socket = nullptr; ///< The connection.
-		Millis since;                 ///< Since when it is idle.
+		Millis since;                 ///< Time when it became idle.
 	};
 
 	QtScheduler &scheduler;                       ///< Clock and timers.
 	DialLimits limits;                            ///< Limits.
 	std::map<std::string, std::deque<Idle>> idle; ///< Idle connections by address, oldest first.
 
-	QTcpSocket *Reuse(const std::string &address);
-	void Forget(const std::string &address, QTcpSocket *socket);
+	QTcpSocket *TakeIdle(const std::string &address);
+	void RemoveIdle(const std::string &address, QTcpSocket *socket);
 };
 
 #endif /* ENDPOINT_LINK_H */
--- a/src/net/epoll_dispatcher.cpp
+++ b/src/net/epoll_dispatcher.cpp
@@ -1,4 +1,4 @@
-/** @file epoll_dispatcher.cpp Qt's event loop over epoll. */
+/** @file epoll_dispatcher.cpp Qt event dispatcher based on epoll. */
 #include "epoll_dispatcher.h"
 
 #include "monotonic_clock.h"
@@ -19,8 +19,8 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr int EVENTS_AT_ONCE = 64; ///< Descriptors told by one call; more come with the next one.
-constexpr int FOREVER = -1;        ///< Wait without limit.
+constexpr int MAX_EVENTS_PER_WAIT = 64; ///< Descriptors returned by one epoll_wait(); the next call returns the rest.
+constexpr int NO_TIMEOUT = -1;          ///< epoll_wait() timeout without limit.
 
 qint64 NowMs()
 {
@@ -29,13 +29,13 @@
 
 } // namespace
 
-uint32_t EpollDispatcher::Watch::Wanted() const
+uint32_t EpollDispatcher::Watch::WantedEvents() const
 {
 	return (this->read != nullptr ? uint32_t{EPOLLIN} : 0U) | (this->write != nullptr ? uint32_t{EPOLLOUT} : 0U) |
 		   (this->urgent != nullptr ? uint32_t{EPOLLPRI} : 0U);
 }
 
-QSocketNotifier *&EpollDispatcher::Watch::Of(QSocketNotifier::Type type)
+QSocketNotifier *&EpollDispatcher::Watch::NotifierFor(QSocketNotifier::Type type)
 {
 	if (type == QSocketNotifier::Read) {
 		return this->read;
@@ -45,30 +45,30 @@
 
 EpollDispatcher::EpollDispatcher() : epoll(::epoll_create1(EPOLL_CLOEXEC))
 {
-	std::array<int, 2> ends{};
-	if (this->epoll < 0 || ::pipe2(ends.data(), O_CLOEXEC | O_NONBLOCK) != 0) {
-		qFatal("no descriptors for the event loop");
+	std::array<int, 2> pipe_ends{};
+	if (this->epoll < 0 || ::pipe2(pipe_ends.data(), O_CLOEXEC | O_NONBLOCK) != 0) {
+		qFatal("can't create the epoll descriptor or the wake-up pipe of the event loop");
 	}
-	this->wake_read = ends[0];
-	this->wake_write = ends[1];
+	this->wake_pipe_read = pipe_ends[0];
+	this->wake_pipe_write = pipe_ends[1];
 	epoll_event event{};
 	event.events = EPOLLIN;
-	event.data.fd = this->wake_read;
-	::epoll_ctl(this->epoll, EPOLL_CTL_ADD, this->wake_read, &event);
+	event.data.fd = this->wake_pipe_read;
+	::epoll_ctl(this->epoll, EPOLL_CTL_ADD, this->wake_pipe_read, &event);
 }
 
 EpollDispatcher::~EpollDispatcher()
 {
-	::close(this->wake_read);
-	::close(this->wake_write);
+	::close(this->wake_pipe_read);
+	::close(this->wake_pipe_write);
 	::close(this->epoll);
 }
 
 void EpollDispatcher::registerSocketNotifier(QSocketNotifier *notifier)
 {
 	const auto fd = static_cast<int>(notifier->socket());
-	this->watches[fd].Of(notifier->type()) = notifier;
-	/* Told before the next wait: most changes are taken back before that. */
+	this->watches[fd].NotifierFor(notifier->type()) = notifier;
+	/* Applied before the next wait: most changes are reverted before then. */
 	this->changed.insert(fd);
 }
 
@@ -76,45 +76,45 @@
 {
 	const auto fd = static_cast<int>(notifier->socket());
 	const auto it = this->watches.find(fd);
-	if (it == this->watches.end() || it->second.Of(notifier->type()) != notifier) {
+	if (it == this->watches.end() || it->second.NotifierFor(notifier->type()) != notifier) {
 		return;
 	}
-	it->second.Of(notifier->type()) = nullptr;
-	if (it->second.Wanted() != 0) {
+	it->second.NotifierFor(notifier->type()) = nullptr;
+	if (it->second.WantedEvents() != 0) {
 		this->changed.insert(fd);
 		return;
 	}
-	/* At once: the descriptor may be closed next, and its number given to another socket. */
-	this->Tell(fd, it->second, 0);
+	/* Applied immediately: the descriptor may be closed next and its number reused by another socket. */
+	this->UpdateEpoll(fd, it->second, 0);
 	this->watches.erase(it);
 	this->changed.erase(fd);
 }
 
-void EpollDispatcher::Tell(int fd, Watch &watch, uint32_t wanted) const
+void EpollDispatcher::UpdateEpoll(int fd, Watch &watch, uint32_t wanted) const
 {
-	if (watch.known == wanted) {
+	if (watch.registered == wanted) {
 		return;
 	}
 	epoll_event event{};
 	event.events = wanted;
 	event.data.fd = fd;
-	int how = EPOLL_CTL_MOD;
-	if (watch.known == 0) {
-		how = EPOLL_CTL_ADD;
+	int operation = EPOLL_CTL_MOD;
+	if (watch.registered == 0) {
+		operation = EPOLL_CTL_ADD;
 	} else if (wanted == 0) {
-		how = EPOLL_CTL_DEL;
+		operation = EPOLL_CTL_DEL;
 	}
-	if (::epoll_ctl(this->epoll, how, fd, &event) != 0 && how != EPOLL_CTL_DEL) {
-		qWarning("descriptor %d can't be watched: error %d", fd, errno);
+	if (::epoll_ctl(this->epoll, operation, fd, &event) != 0 && operation != EPOLL_CTL_DEL) {
+		qWarning("epoll_ctl() failed for descriptor %d: errno %d", fd, errno);
 	}
-	watch.known = wanted;
+	watch.registered = wanted;
 }
 
-void EpollDispatcher::TellChanges()
+void EpollDispatcher::ApplyChanges()
 {
 	for (const int fd : this->changed) {
 		if (const auto it = this->watches.find(fd); it != this->watches.end()) {
-			this->Tell(fd, it->second, it->second.Wanted());
+			this->UpdateEpoll(fd, it->second, it->second.WantedEvents());
 		}
 	}
 	this->changed.clear();
@@ -124,7 +124,7 @@
 {
 	const qint64 due = NowMs() + interval;
 	this->timers[id] = Timer{interval, due, type, object};
-	this->order.emplace(due, id);
+	this->due_times.emplace(due, id);
 }
 
 bool EpollDispatcher::unregisterTimer(int id)
@@ -133,7 +133,7 @@
 	if (it == this->timers.end()) {
 		return false;
 	}
-	this->order.erase({it->second.due, id});
+	this->due_times.erase({it->second.due, id});
 	this->timers.erase(it);
 	return true;
 }
@@ -169,7 +169,7 @@
 	}
 	if (QThread::currentThread() != this->thread()) {
 		const char byte = 0;
-		[[maybe_unused]] const ssize_t n = ::write(this->wake_write, &byte, 1);
+		[[maybe_unused]] const ssize_t n = ::write(this->wake_pipe_write, &byte, 1);
 	}
 }
 
@@ -179,40 +179,42 @@
 	this->wakeUp();
 }
 
-void EpollDispatcher::DrainWake()
+void EpollDispatcher::DrainWakePipe()
 {
 	std::array<char, 64> bytes{};
-	while (::read(this->wake_read, bytes.data(), bytes.size()) > 0) {
+	while (::read(this->wake_pipe_read, bytes.data(), bytes.size()) > 0) {
 	}
 }
 
-int EpollDispatcher::WaitTime() const
+int EpollDispatcher::WaitTimeout() const
 {
-	if (this->order.empty()) {
-		return FOREVER;
+	if (this->due_times.empty()) {
+		return NO_TIMEOUT;
 	}
-	const qint64 left = this->order.begin()->first - NowMs();
-	return static_cast<int>(std::clamp<qint64>(left, 0, std::numeric_limits<int>::max()));
+	const qint64 remaining = this->due_times.begin()->first - NowMs();
+	return static_cast<int>(std::clamp<qint64>(remaining, 0, std::numeric_limits<int>::max()));
 }
 
 int EpollDispatcher::Activate(int fd, uint32_t events)
 {
-	constexpr uint32_t BROKEN = EPOLLHUP | EPOLLERR;
-	struct Part {
+	constexpr uint32_t ERROR_EVENTS = EPOLLHUP | EPOLLERR;
+	struct NotifierEvents {
 		QSocketNotifier::Type type;
 		uint32_t events;
 	};
-	constexpr std::array<Part, 3> PARTS = {Part{QSocketNotifier::Exception, EPOLLPRI},
-										   Part{QSocketNotifier::Read, EPOLLIN | BROKEN},
-										   Part{QSocketNotifier::Write, EPOLLOUT | BROKEN}};
+	constexpr std::array<NotifierEvents, 3> NOTIFIER_EVENTS = {
+			NotifierEvents{QSocketNotifier::Exception, EPOLLPRI},
+			NotifierEvents{QSocketNotifier::Read, EPOLLIN | ERROR_EVENTS},
+			NotifierEvents{QSocketNotifier::Write, EPOLLOUT | ERROR_EVENTS}};
 	int n = 0;
-	for (const Part &part : PARTS) {
-		/* Looked up each time: what one of them does may take the others away. */
+	for (const NotifierEvents &kind : NOTIFIER_EVENTS) {
+		/* Looked up each time: a notifier's handler may unregister the others. */
 		const auto it = this->watches.find(fd);
 		if (it == this->watches.end()) {
 			return n;
 		}
-		if (QSocketNotifier *notifier = it->second.Of(part.type); notifier != nullptr && (events & part.events) != 0) {
+		if (QSocketNotifier *notifier = it->second.NotifierFor(kind.type);
+			notifier != nullptr && (events & kind.events) != 0) {
 			QEvent event(QEvent::SockAct);
 			QCoreApplication::sendEvent(notifier, &event);
 			n++;
@@ -223,15 +225,15 @@
 
 int EpollDispatcher::ActivateSockets(int wait)
 {
-	std::array<epoll_event, EVENTS_AT_ONCE> events{};
-	const auto begun = wait == 0 ? Clock::time_point() : Clock::now();
-	const int count = ::epoll_wait(this->epoll, events.data(), EVENTS_AT_ONCE, wait);
-	this->waited += wait == 0 ? Clock::duration(0) : Clock::now() - begun;
+	std::array<epoll_event, MAX_EVENTS_PER_WAIT> events{};
+	const auto started_at = wait == 0 ? Clock::time_point() : Clock::now();
+	const int count = ::epoll_wait(this->epoll, events.data(), MAX_EVENTS_PER_WAIT, wait);
+	this->idle_time += wait == 0 ? Clock::duration(0) : Clock::now() - started_at;
 	int n = 0;
 	for (int i = 0; i < count; i++) {
 		const epoll_event &event = events[static_cast<size_t>(i)];
-		if (event.data.fd == this->wake_read) {
-			this->DrainWake();
+		if (event.data.fd == this->wake_pipe_read) {
+			this->DrainWakePipe();
 		} else {
 			n += this->Activate(event.data.fd, event.events);
 		}
@@ -243,15 +245,16 @@
 {
 	const qint64 now = NowMs();
 	int n = 0;
-	/* A timer that is due again at once waits for the next turn, so that sockets are served between. */
-	std::set<int> done;
-	while (!this->order.empty() && this->order.begin()->first <= now && !done.contains(this->order.begin()->second)) {
-		const int id = this->order.begin()->second;
-		done.insert(id);
+	/* Each timer fires at most once per iteration, so that timers with a short interval do not starve sockets. */
+	std::set<int> fired;
+	while (!this->due_times.empty() && this->due_times.begin()->first <= now &&
+		   !fired.contains(this->due_times.begin()->second)) {
+		const int id = this->due_times.begin()->second;
+		fired.insert(id);
 		Timer &timer = this->timers.at(id);
-		this->order.erase(this->order.begin());
+		this->due_times.erase(this->due_times.begin());
 		timer.due = now + timer.interval;
-		this->order.emplace(timer.due, id);
+		this->due_times.emplace(timer.due, id);
 		QTimerEvent event(id);
 		QCoreApplication::sendEvent(timer.object, &event);
 		n++;
@@ -269,7 +272,7 @@
 	if (may_wait) {
 		Q_EMIT this->aboutToBlock();
 	}
-	this->TellChanges();
-	const int n = this->ActivateSockets(may_wait ? this->WaitTime() : 0) + this->ActivateTimers();
+	this->ApplyChanges();
+	const int n = this->ActivateSockets(may_wait ? this->WaitTimeout() : 0) + this->ActivateTimers();
 	return n > 0;
 }
--- a/src/net/epoll_dispatcher.h
+++ b/src/net/epoll_dispatcher.h
@@ -1,4 +1,4 @@
-/** @file epoll_dispatcher.h Qt's event loop over epoll: the work of a turn doesn't grow with the number of sockets. */
+/** @file epoll_dispatcher.h Qt event dispatcher based on epoll: its cost does not grow with the number of sockets. */
 #ifndef EPOLL_DISPATCHER_H
 #define EPOLL_DISPATCHER_H
 
@@ -12,8 +12,8 @@
 #include <unordered_map>
 
 /**
- * Event dispatcher of one thread. Qt's own one hands all sockets to poll() in each turn; a node that watches hundreds
- * of boxes spends over a third of its time there (docs/design/house-style.md).
+ * Event dispatcher of one thread. Qt's own dispatcher passes all sockets to poll() in each iteration; a node that
+ * watches hundreds of boxes spends over a third of its time there (docs/design/house-style.md).
  */
 class EpollDispatcher : public QAbstractEventDispatcher {
 public:
@@ -33,47 +33,47 @@
 	void wakeUp() override;
 	void interrupt() override;
 
-	/** @return Time spent waiting for something to do, so far: what is left of a second is the loop's work. */
-	[[nodiscard]] std::chrono::nanoseconds IdleTime() const { return this->waited; }
+	/** @return Total time spent blocked in epoll_wait(); the rest of the elapsed time is work of the loop. */
+	[[nodiscard]] std::chrono::nanoseconds IdleTime() const { return this->idle_time; }
 
 private:
-	/** A timer that repeats until it is taken away. */
+	/** A timer that repeats until it is unregistered. */
 	struct Timer {
-		qint64 interval = 0; ///< ms.
-		qint64 due = 0;      ///< ms of SystemClock().
-		Qt::TimerType type;  ///< As asked for; all are precise to the ms.
-		QObject *object;     ///< Gets the event.
+		qint64 interval = 0; ///< Interval in ms.
+		qint64 due = 0;      ///< Next expiry in ms of SystemClock().
+		Qt::TimerType type;  ///< Requested type; all timers are precise to 1 ms.
+		QObject *object;     ///< Receives the timer event.
 	};
 
-	/** Who watches a descriptor. */
+	/** Notifiers of one descriptor. */
 	struct Watch {
-		QSocketNotifier *read = nullptr;   ///< Wants to know of bytes.
-		QSocketNotifier *write = nullptr;  ///< Wants to know of room.
-		QSocketNotifier *urgent = nullptr; ///< Wants to know of urgent bytes.
-		uint32_t known = 0;                ///< Events that epoll knows of.
+		QSocketNotifier *read = nullptr;   ///< Notifier for readable data.
+		QSocketNotifier *write = nullptr;  ///< Notifier for free space in the send buffer.
+		QSocketNotifier *urgent = nullptr; ///< Notifier for urgent data.
+		uint32_t registered = 0;           ///< Event mask registered with epoll.
 
-		[[nodiscard]] uint32_t Wanted() const;
-		QSocketNotifier *&Of(QSocketNotifier::Type type);
+		[[nodiscard]] uint32_t WantedEvents() const;
+		QSocketNotifier *&NotifierFor(QSocketNotifier::Type type);
 	};
 
-	int epoll;                              ///< The epoll descriptor.
-	int wake_read;                          ///< Read by the loop.
-	int wake_write;                         ///< Written by other threads.
-	std::atomic<bool> woken{false};         ///< Whether a wake-up is under way.
-	std::atomic<bool> interrupted{false};   ///< Whether processEvents() is to return.
-	std::unordered_map<int, Watch> watches; ///< By descriptor.
-	std::set<int> changed;                  ///< Descriptors whose wanted events may differ from those that epoll knows.
-	std::map<int, Timer> timers;            ///< By id.
-	std::set<std::pair<qint64, int>> order; ///< Due times and ids.
-	std::chrono::nanoseconds waited{0};     ///< For Waited().
+	int epoll;                                  ///< The epoll descriptor.
+	int wake_pipe_read;                         ///< Read end of the wake-up pipe, for the loop.
+	int wake_pipe_write;                        ///< Write end of the wake-up pipe, for other threads.
+	std::atomic<bool> woken{false};             ///< Whether a wake-up is pending.
+	std::atomic<bool> interrupted{false};       ///< Whether processEvents() must return without waiting.
+	std::unordered_map<int, Watch> watches;     ///< Notifiers by descriptor.
+	std::set<int> changed;                      ///< Descriptors whose event mask may differ from the registered one.
+	std::map<int, Timer> timers;                ///< Timers by id.
+	std::set<std::pair<qint64, int>> due_times; ///< Expiry times and timer ids, earliest first.
+	std::chrono::nanoseconds idle_time{0};      ///< For IdleTime().
 
-	void TellChanges();
-	void Tell(int fd, Watch &watch, uint32_t wanted) const;
-	[[nodiscard]] int WaitTime() const;
+	void ApplyChanges();
+	void UpdateEpoll(int fd, Watch &watch, uint32_t wanted) const;
+	[[nodiscard]] int WaitTimeout() const;
 	int ActivateSockets(int wait);
 	int Activate(int fd, uint32_t events);
 	int ActivateTimers();
-	void DrainWake();
+	void DrainWakePipe();
 };
 
 #endif /* EPOLL_DISPATCHER_H */
--- a/src/net/frame_link.cpp
+++ b/src/net/frame_link.cpp
@@ -1,4 +1,4 @@
-/** @file frame_link.cpp Frames between our own processes. */
+/** @file frame_link.cpp Messages between Glade processes. */
 #include "frame_link.h"
 
 #include <QtEndian>
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr int FRAME_HEADER = 4;         ///< Bytes of a frame's length.
-constexpr Millis CONNECT_TIMEOUT(1000); ///< A connection that does not stand by then is given up.
-constexpr Millis RECONNECT_AFTER(200);  ///< Pause between two tries.
+constexpr int FRAME_HEADER_BYTES = 4;   ///< Bytes of the length before each frame.
+constexpr Millis CONNECT_TIMEOUT(1000); ///< Time limit for establishing a connection.
+constexpr Millis RECONNECT_DELAY(200);  ///< Delay before the next connection attempt.
 
 /**
- * Hands an object to Qt for deletion once its thread is free, without further signals.
+ * Aborts a socket and deletes it later, without further signals.
  * @param socket The socket.
  */
 void Discard(QTcpSocket *socket)
@@ -63,11 +63,11 @@
 	flatbuffers::FlatBufferBuilder builder;
 	const auto body = message.Pack(builder);
 	builder.Finish(glade::wire::CreateFrame(builder, message.type, body));
-	char header[FRAME_HEADER];
+	char header[FRAME_HEADER_BYTES];
 	qToLittleEndian<quint32>(builder.GetSize(), header);
-	this->socket->write(header, FRAME_HEADER);
+	this->socket->write(header, FRAME_HEADER_BYTES);
 	this->socket->write(reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize());
-	this->bytes_sent += builder.GetSize() + FRAME_HEADER;
+	this->bytes_sent += builder.GetSize() + FRAME_HEADER_BYTES;
 }
 
 void FrameLink::OnReadable()
@@ -75,25 +75,25 @@
 	const QByteArray data = this->socket->readAll();
 	this->bytes_received += static_cast<uint64_t>(data.size());
 	this->buf += data;
-	while (this->TakeFrame()) {
+	while (this->ParseFrame()) {
 	}
 }
 
-bool FrameLink::TakeFrame()
+bool FrameLink::ParseFrame()
 {
-	if (this->buf.size() < FRAME_HEADER) {
+	if (this->buf.size() < FRAME_HEADER_BYTES) {
 		return false;
 	}
 	const quint32 size = qFromLittleEndian<quint32>(this->buf.constData());
-	if (size > FRAME_BYTES_MAX) {
+	if (size > MAX_FRAME_BYTES) {
 		this->socket->abort();
 		return false;
 	}
-	if (this->buf.size() < FRAME_HEADER + static_cast<qsizetype>(size)) {
+	if (this->buf.size() < FRAME_HEADER_BYTES + static_cast<qsizetype>(size)) {
 		return false;
 	}
-	const QByteArray body = this->buf.mid(FRAME_HEADER, size);
-	this->buf.remove(0, FRAME_HEADER + static_cast<qsizetype>(size));
+	const QByteArray body = this->buf.mid(FRAME_HEADER_BYTES, size);
+	this->buf.remove(0, FRAME_HEADER_BYTES + static_cast<qsizetype>(size));
 	const auto *data = reinterpret_cast<const uint8_t *>(body.constData());
 	flatbuffers::Verifier verifier(data, size, 64, 100000000);
 	if (!verifier.VerifyBuffer<glade::wire::Frame>()) {
@@ -107,7 +107,7 @@
 	return true;
 }
 
-FrameServer::FrameServer(OnMessage on_message, OnDown on_disconnected)
+FrameServer::FrameServer(OnMessage on_message, OnDisconnect on_disconnected)
 		: on_message(std::move(on_message)), on_disconnected(std::move(on_disconnected))
 {
 	QObject::connect(&this->server, &QTcpServer::newConnection, &this->server, [this] { this->Accept(); });
@@ -127,26 +127,26 @@
 		link->on_message = [this, raw](const MessageUnion &message) { this->on_message(*raw, message); };
 		link->on_disconnected = [this, raw] {
 			QMetaObject::invokeMethod(
-					&this->server, [this, raw] { this->Drop(raw); }, Qt::QueuedConnection);
+					&this->server, [this, raw] { this->RemoveLink(raw); }, Qt::QueuedConnection);
 		};
 		this->links.push_back(std::move(link));
 	}
 }
 
-void FrameServer::Drop(FrameLink *link)
+void FrameServer::RemoveLink(FrameLink *link)
 {
 	const auto it = std::ranges::find_if(this->links, [&](const auto &one) { return one.get() == link; });
 	if (it == this->links.end()) {
 		return;
 	}
-	this->old_bytes += link->bytes_sent + link->bytes_received;
+	this->closed_bytes += link->bytes_sent + link->bytes_received;
 	this->on_disconnected(*link);
 	this->links.erase(it);
 }
 
 uint64_t FrameServer::Bytes() const
 {
-	uint64_t n = this->old_bytes;
+	uint64_t n = this->closed_bytes;
 	for (const auto &link : this->links) {
 		n += link->bytes_sent + link->bytes_received;
 	}
@@ -177,7 +177,7 @@
 	const NetAddress &address = this->addresses[this->next % this->addresses.size()];
 	auto *socket = new QTcpSocket;
 	if (this->link) {
-		this->old_bytes += this->link->bytes_sent + this->link->bytes_received;
+		this->closed_bytes += this->link->bytes_sent + this->link->bytes_received;
 	}
 	this->link = std::make_unique<FrameLink>(socket);
 	this->link->on_message = [this](const MessageUnion &message) {
@@ -191,19 +191,19 @@
 			this->on_connected();
 		}
 	};
-	this->link->on_disconnected = [this] { this->Down(); };
+	this->link->on_disconnected = [this] { this->OnDisconnected(); };
 	this->timer = this->scheduler.After(CONNECT_TIMEOUT, [this] { this->TryNext(); });
 	socket->connectToHost(address.ip, address.port);
 }
 
-void FrameClient::Down()
+void FrameClient::OnDisconnected()
 {
 	if (this->on_disconnected) {
 		this->on_disconnected();
 	}
 	this->next++;
 	this->scheduler.Cancel(this->timer);
-	this->timer = this->scheduler.After(RECONNECT_AFTER, [this] { this->Connect(); });
+	this->timer = this->scheduler.After(RECONNECT_DELAY, [this] { this->Connect(); });
 }
 
 void FrameClient::TryNext()
@@ -222,5 +222,5 @@
 
 uint64_t FrameClient::Bytes() const
 {
-	return this->old_bytes + (this->link ? this->link->bytes_sent + this->link->bytes_received : 0);
+	return this->closed_bytes + (this->link ? this->link->bytes_sent + this->link->bytes_received : 0);
 }
--- a/src/net/frame_link.h
+++ b/src/net/frame_link.h
@@ -1,5 +1,4 @@
-/** @file frame_link.h Frames between our own processes: a length of 4 bytes, little endian, then a FlatBuffers Frame.
- */
+/** @file frame_link.h Messages between Glade processes: a 4-byte little-endian length, then a FlatBuffers Frame. */
 #ifndef FRAME_LINK_H
 #define FRAME_LINK_H
 
@@ -14,13 +13,13 @@
 #include <list>
 #include <memory>
 
-using MessageUnion = glade::wire::MessageUnion; ///< A message in native form.
+using MessageUnion = glade::wire::MessageUnion; ///< A message in FlatBuffers' object form.
 
-inline constexpr uint32_t FRAME_BYTES_MAX = 64 * 1024 * 1024; ///< Longest frame that is taken.
+inline constexpr uint32_t MAX_FRAME_BYTES = 64 * 1024 * 1024; ///< Larger frames reset the connection.
 
 /**
- * Builds a message around a native body.
- * @tparam T Native type, such as wire::ViewT.
+ * Wraps a message body in the union of all messages.
+ * @tparam T Object type of the body, such as wire::ViewT.
  * @param body The body.
  * @return The message.
  */
@@ -32,13 +31,13 @@
 	return message;
 }
 
-/** One connection that carries frames. Lives on the thread of its socket. */
+/** A connection that carries frames. Must be used on the thread of its socket. */
 class FrameLink {
 public:
 	using OnMessage = std::function<void(const MessageUnion &)>;
 
 	/**
-	 * @param socket The socket; owned from now on.
+	 * @param socket The socket; ownership passes to this.
 	 */
 	explicit FrameLink(QTcpSocket *socket);
 	~FrameLink();
@@ -46,115 +45,115 @@
 	FrameLink &operator=(const FrameLink &) = delete;
 
 	/**
-	 * Sends a message; dropped when the link is down.
+	 * Sends a message, or drops it when the link is not connected.
 	 * @param message The message.
 	 */
 	void Send(const MessageUnion &message);
 
-	/** @return Whether the connection stands. */
+	/** @return Whether the connection is established. */
 	[[nodiscard]] bool IsConnected() const;
 
-	/** @return Bytes waiting to be taken by the other side. */
+	/** @return Bytes written but not yet passed to the kernel. */
 	[[nodiscard]] int64_t Pending() const;
 
-	OnMessage on_message;               ///< Gets each message.
-	std::function<void()> on_connected; ///< The connection stands.
-	std::function<void()>
-			on_disconnected;     ///< The connection is gone; the link may be destroyed from here by a later event.
-	uint64_t bytes_sent = 0;     ///< Bytes sent.
-	uint64_t bytes_received = 0; ///< Bytes received.
+	OnMessage on_message;                  ///< Called with each message.
+	std::function<void()> on_connected;    ///< Called when the connection is established.
+	std::function<void()> on_disconnected; ///< Called when the connection is lost or could not be established; must not
+										   ///< destroy the link, but may post an event that does.
+	uint64_t bytes_sent = 0;               ///< Bytes sent.
+	uint64_t bytes_received = 0;           ///< Bytes received.
 
 private:
 	QTcpSocket *socket; ///< The socket.
-	QByteArray buf;     ///< Bytes received, not yet a whole frame.
+	QByteArray buf;     ///< Received bytes of incomplete frames.
 
 	void OnReadable();
-	bool TakeFrame();
+	bool ParseFrame();
 };
 
-/** Listens for frames. */
+/** Accepts connections that carry frames. */
 class FrameServer {
 public:
 	using OnMessage = std::function<void(FrameLink &, const MessageUnion &)>;
-	using OnDown = std::function<void(FrameLink &)>;
+	using OnDisconnect = std::function<void(FrameLink &)>;
 
 	/**
-	 * @param on_message Gets each message with its link.
-	 * @param on_disconnected Told when a link is gone, before it is destroyed.
+	 * @param on_message Called with each message and its link.
+	 * @param on_disconnected Called when a link is disconnected, before it is destroyed.
 	 */
-	FrameServer(OnMessage on_message, OnDown on_disconnected);
+	FrameServer(OnMessage on_message, OnDisconnect on_disconnected);
 
 	/**
-	 * Begins to listen.
-	 * @param address Where.
-	 * @return Whether it listens.
+	 * Starts listening.
+	 * @param address Address to listen on.
+	 * @return Whether it succeeded.
 	 */
 	bool Listen(const NetAddress &address);
 
-	/** @return Port that it listens on. */
+	/** @return Port of the listening socket. */
 	[[nodiscard]] quint16 Port() const { return this->server.serverPort(); }
 
-	/** @return Bytes sent and received over all links, also those gone. */
+	/** @return Bytes sent and received on all links, including closed ones. */
 	[[nodiscard]] uint64_t Bytes() const;
 
-	/** @return The links that stand. */
+	/** @return The open links. */
 	[[nodiscard]] const std::list<std::unique_ptr<FrameLink>> &Links() const { return this->links; }
 
 private:
-	QTcpServer server;                           ///< The listener.
-	OnMessage on_message;                        ///< Gets each message.
-	OnDown on_disconnected;                      ///< Told of links that are gone.
-	std::list<std::unique_ptr<FrameLink>> links; ///< Links that stand.
-	uint64_t old_bytes = 0;                      ///< Bytes of links that are gone.
+	QTcpServer server;                           ///< The listening socket.
+	OnMessage on_message;                        ///< Called with each message.
+	OnDisconnect on_disconnected;                ///< Called with each disconnected link.
+	std::list<std::unique_ptr<FrameLink>> links; ///< Open links.
+	uint64_t closed_bytes = 0;                   ///< Bytes of closed links.
 
 	void Accept();
-	void Drop(FrameLink *link);
+	void RemoveLink(FrameLink *link);
 };
 
-/** A link that comes back by itself: connects to the first of several addresses that answers. */
+/** A link that reconnects automatically, trying several addresses in turn. */
 class FrameClient {
 public:
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param addresses Where to connect, in order of preference.
+	 * @param addresses Addresses to connect to, in order of preference.
 	 */
 	FrameClient(Scheduler &scheduler, std::vector<NetAddress> addresses);
 	~FrameClient();
 	FrameClient(const FrameClient &) = delete;
 	FrameClient &operator=(const FrameClient &) = delete;
 
-	/** Begins to connect. */
+	/** Starts connecting. */
 	void Start();
 
 	/**
-	 * Sends a message; dropped when the link is down.
+	 * Sends a message, or drops it when the link is not connected.
 	 * @param message The message.
 	 */
 	void Send(const MessageUnion &message);
 
-	/** Gives this connection up and tries the next address. */
+	/** Drops the current connection and connects to the next address. */
 	void TryNext();
 
-	/** @return Whether the connection stands. */
+	/** @return Whether the connection is established. */
 	[[nodiscard]] bool IsConnected() const { return this->link && this->link->IsConnected(); }
 
-	/** @return Bytes sent and received. */
+	/** @return Bytes sent and received, including closed connections. */
 	[[nodiscard]] uint64_t Bytes() const;
 
-	FrameLink::OnMessage on_message;       ///< Gets each message.
-	std::function<void()> on_connected;    ///< The connection stands.
-	std::function<void()> on_disconnected; ///< The connection is gone.
+	FrameLink::OnMessage on_message;       ///< Called with each message.
+	std::function<void()> on_connected;    ///< Called when the connection is established.
+	std::function<void()> on_disconnected; ///< Called when the connection is lost or could not be established.
 
 private:
 	Scheduler &scheduler;              ///< Clock and timers.
-	std::vector<NetAddress> addresses; ///< Where to connect.
-	size_t next = 0;                   ///< Next address to try.
+	std::vector<NetAddress> addresses; ///< Addresses to connect to.
+	size_t next = 0;                   ///< Index of the address to try next, modulo their number.
 	std::unique_ptr<FrameLink> link;   ///< Current connection.
-	TimerId timer;                     ///< Next try or timeout.
-	uint64_t old_bytes = 0;            ///< Bytes of connections that are gone.
+	TimerId timer;                     ///< Connection timeout or reconnect delay.
+	uint64_t closed_bytes = 0;         ///< Bytes of closed connections.
 
 	void Connect();
-	void Down();
+	void OnDisconnected();
 };
 
 #endif /* FRAME_LINK_H */
--- a/src/net/http_caller.cpp
+++ b/src/net/http_caller.cpp
@@ -1,4 +1,4 @@
-/** @file http_caller.cpp Whole HTTP calls with a time limit. */
+/** @file http_caller.cpp Complete HTTP calls with a time limit. */
 #include "http_caller.h"
 
 #include <algorithm>
@@ -6,13 +6,13 @@
 
 namespace {
 
-/** A time limit that falls due this much late tells that this process was held up: the answer may lie unread. */
-constexpr Millis HELD_UP(30);
-constexpr Millis GRACE_LEAST(50); ///< Time to read it then, at least; as long as it was held up, otherwise.
+/** A timer that fires later than this shows that the process was stalled: the response may be waiting unread. */
+constexpr Millis STALL_THRESHOLD(30);
+constexpr Millis MIN_STALL_GRACE(50); ///< Minimum extra wait after a stall; a longer stall gets its own length.
 
 } // namespace
 
-class HttpCaller::Pending : public HttpLineEvents {
+class HttpCaller::Pending : public HttpConnectionEvents {
 public:
 	Pending(HttpCaller &caller, Done done) : done(std::move(done)), caller(caller) {}
 	~Pending() override { this->caller.scheduler.Cancel(this->timer); }
@@ -21,13 +21,13 @@
 
 	void Start(const HttpCallSpec &spec)
 	{
-		this->begun = this->caller.scheduler.Now();
+		this->started_at = this->caller.scheduler.Now();
 		this->address = spec.address;
-		this->timer = this->caller.scheduler.After(spec.patience,
-												   [this, due = this->begun + spec.patience] { this->OnDue(due); });
-		this->line = this->caller.lines.Take(spec.address);
-		if (this->line) {
-			this->line->Call(WriteRequest(spec.request, spec.address), *this);
+		this->timer = this->caller.scheduler.After(
+				spec.timeout, [this, due = this->started_at + spec.timeout] { this->OnTimeout(due); });
+		this->connection = this->caller.connections.Acquire(spec.address);
+		if (this->connection) {
+			this->connection->Call(WriteRequest(spec.request, spec.address), *this);
 		}
 	}
 
@@ -40,53 +40,56 @@
 
 	void OnFailed(bool sent) override { this->End(sent ? CallResult::CR_UNKNOWN : CallResult::CR_NOT_SENT); }
 
-	Done done;                                        ///< Gets the answer.
-	std::list<std::unique_ptr<Pending>>::iterator at; ///< Its place among those under way.
+	Done done;                                        ///< Called with the result.
+	std::list<std::unique_ptr<Pending>>::iterator at; ///< Position in the list of calls in progress.
 
 private:
-	HttpCaller &caller;             ///< Owns this.
-	std::unique_ptr<HttpLine> line; ///< The connection.
-	HttpReply reply;                ///< What came.
-	TimerId timer;                  ///< Time limit.
-	Millis begun;                   ///< When the call was made.
-	std::string address;            ///< Where it goes.
-
-	/* A busy process that took its own delay for lost answers sent its orders again, and was busier by that: an owner
-	 * of 150 boxes then never recovered from a peak. */
-	void OnDue(Millis due)
+	HttpCaller &caller;                         ///< Owns this.
+	std::unique_ptr<HttpConnection> connection; ///< The connection.
+	HttpReply reply;                            ///< Result of the call.
+	TimerId timer;                              ///< Time limit.
+	Millis started_at;                          ///< Start time of the call.
+	std::string address;                        ///< Destination, IP:port.
+
+	/* An overloaded process that mistakes its own delay for lost responses repeats its orders, which adds load: an
+	 * owner of 150 boxes never recovered from a peak that way. */
+	void OnTimeout(Millis due)
 	{
-		const Millis late = this->caller.scheduler.Now() - due;
-		if (late <= HELD_UP) {
-			this->GiveUp();
+		const Millis delay = this->caller.scheduler.Now() - due;
+		if (delay <= STALL_THRESHOLD) {
+			this->FailWithTimeout();
 			return;
 		}
-		this->timer = this->caller.scheduler.After(std::max(late, GRACE_LEAST), [this] { this->GiveUp(); });
+		this->timer =
+				this->caller.scheduler.After(std::max(delay, MIN_STALL_GRACE), [this] { this->FailWithTimeout(); });
 	}
 
-	/* Connections may fall silent without a reset, all at once. Those that have carried nothing since this call began
-	 * are closed: otherwise each of six kept ones would cost the next calls their whole time limit. */
-	void GiveUp()
+	/* All connections to an address may stop responding at once without a reset. Those unused since this call
+	 * started are closed: otherwise each of six pooled ones would make a later call time out. */
+	void FailWithTimeout()
 	{
-		this->caller.lines.DropIdle(this->address, this->begun);
-		if (this->line) {
-			this->line->Drop();
+		this->caller.connections.CloseIdle(this->address, this->started_at);
+		if (this->connection) {
+			this->connection->Abandon();
 		}
-		this->End(this->line ? CallResult::CR_UNKNOWN : CallResult::CR_NOT_SENT);
+		this->End(this->connection ? CallResult::CR_UNKNOWN : CallResult::CR_NOT_SENT);
 	}
 
 	void End(CallResult result)
 	{
 		this->caller.scheduler.Cancel(this->timer);
-		if (this->line) {
-			this->caller.lines.Keep(this->address, std::move(this->line));
+		if (this->connection) {
+			this->caller.connections.Release(this->address, std::move(this->connection));
 		}
 		this->reply.result = result;
-		this->reply.took = this->caller.scheduler.Now() - this->begun;
+		this->reply.took = this->caller.scheduler.Now() - this->started_at;
 		this->caller.Finish(this, this->reply);
 	}
 };
 
-HttpCaller::HttpCaller(QtScheduler &scheduler, DialLimits limits) : scheduler(scheduler), lines(scheduler, limits) {}
+HttpCaller::HttpCaller(QtScheduler &scheduler, DialLimits limits) : scheduler(scheduler), connections(scheduler, limits)
+{
+}
 
 HttpCaller::~HttpCaller() = default;
 
@@ -99,8 +102,8 @@
 
 void HttpCaller::Finish(Pending *it, const HttpReply &reply)
 {
-	/* It lives until its caller was told. */
-	const std::unique_ptr<Pending> over = std::move(*it->at);
+	/* Keeps the call alive until its callback has returned. */
+	const std::unique_ptr<Pending> finished = std::move(*it->at);
 	this->open.erase(it->at);
-	over->done(reply);
+	finished->done(reply);
 }
--- a/src/net/http_caller.h
+++ b/src/net/http_caller.h
@@ -1,31 +1,31 @@
-/** @file http_caller.h Whole HTTP calls with a time limit, over kept connections. Nothing is ever sent twice. */
+/** @file http_caller.h Complete HTTP calls with a time limit over persistent connections, never retried. */
 #ifndef HTTP_CALLER_H
 #define HTTP_CALLER_H
 
-#include "http_line.h"
+#include "http_connection.h"
 
 #include <list>
 
-/** How a call ended. */
+/** Outcome of a call. */
 enum class CallResult : uint8_t {
-	CR_ANSWERED = 0, ///< A whole answer came.
-	CR_NOT_SENT = 1, ///< No connection stood: the call was certainly not received.
-	CR_UNKNOWN = 2,  ///< Sent, without a whole answer in time.
+	CR_ANSWERED = 0, ///< A complete response was received.
+	CR_NOT_SENT = 1, ///< Nothing was sent: the call was certainly not received.
+	CR_UNKNOWN = 2,  ///< Sent, but no complete response was received in time.
 };
 
-/** Answer to a call. */
+/** Result of a call. */
 struct HttpReply {
-	CallResult result = CallResult::CR_UNKNOWN; ///< How it ended.
-	int status = 0;                             ///< HTTP status, when answered.
-	std::string body;                           ///< Body, when answered.
-	Millis took;                                ///< Time from the call to its end.
+	CallResult result = CallResult::CR_UNKNOWN; ///< Outcome.
+	int status = 0;                             ///< HTTP status, if a response was received.
+	std::string body;                           ///< Response body, if a response was received.
+	Millis took;                                ///< Time from the start of the call to its end.
 };
 
 /** A call to make. */
 struct HttpCallSpec {
 	std::string address;   ///< IP:port.
-	CallerRequest request; ///< What to send.
-	Millis patience;       ///< Without a whole answer by then, the connection is cut.
+	CallerRequest request; ///< Request to send.
+	Millis timeout;        ///< Time limit for a complete response; the connection is closed when it expires.
 };
 
 /** Makes calls from one thread. */
@@ -45,20 +45,20 @@
 	/**
 	 * Makes a call.
 	 * @param spec The call.
-	 * @param done Gets the answer, later.
+	 * @param done Called with the result, never from within Call().
 	 */
 	void Call(const HttpCallSpec &spec, Done done);
 
-	/** @return Calls under way. */
+	/** @return Number of calls in progress. */
 	[[nodiscard]] size_t Open() const { return this->open.size(); }
 
 private:
-	/** A call under way. */
+	/** A call in progress. */
 	class Pending;
 
 	QtScheduler &scheduler;                   ///< Clock and timers.
-	HttpLines lines;                          ///< Connections.
-	std::list<std::unique_ptr<Pending>> open; ///< Calls under way.
+	HttpConnectionPool connections;           ///< Idle connections.
+	std::list<std::unique_ptr<Pending>> open; ///< Calls in progress.
 
 	void Finish(Pending *it, const HttpReply &reply);
 };
--- a/src/net/http_codec.cpp
+++ b/src/net/http_codec.cpp
@@ -1,4 +1,4 @@
-/** @file http_codec.cpp HTTP/1.1 messages by Boost.Beast's parsers and serializers. */
+/** @file http_codec.cpp Parsing and serializing of HTTP/1.1 messages with Boost.Beast. */
 #include "http_codec.h"
 
 #include <boost/beast/core/buffers_to_string.hpp>
@@ -10,16 +10,16 @@
 
 namespace {
 
-/* Beast 1.74 refuses every Content-Length when the limit is set to none. */
-constexpr uint64_t ANY_LENGTH = uint64_t{1} << 62; ///< Limit on the body of an answer: none.
-constexpr size_t BODY_PART = 16 * 1024;            ///< Bytes of an answer's body passed on at once.
-constexpr int STATUS_NO_CONTENT = 204;             ///< No body follows.
-constexpr int STATUS_NOT_MODIFIED = 304;           ///< No body follows.
-constexpr int STATUS_FIRST_FINAL = 200;            ///< Statuses below are interim.
-constexpr size_t HEAD_BYTES = 256;                 ///< Room for a usual request's head.
-constexpr unsigned HTTP_1_1 = 11;                  ///< Version as Beast counts it.
+/* Beast 1.74 rejects every Content-Length when the limit is set to none. */
+constexpr uint64_t NO_BODY_LIMIT = uint64_t{1} << 62; ///< Body limit of responses: effectively unlimited.
+constexpr size_t BODY_PART_BYTES = 16 * 1024;         ///< Maximum size of a body part that is passed to the handler.
+constexpr int STATUS_NO_CONTENT = 204;                ///< Response without a body.
+constexpr int STATUS_NOT_MODIFIED = 304;              ///< Response without a body.
+constexpr int STATUS_FIRST_FINAL = 200;               ///< Lower status codes are interim responses.
+constexpr size_t HEAD_RESERVE_BYTES = 256;            ///< Bytes reserved for the head of a request.
+constexpr unsigned HTTP_1_1 = 11;                     ///< Beast's encoding of HTTP/1.1.
 
-/** Whether a line of a head ends in LF without CR. */
+/** @return Whether a line ends in LF without CR. */
 bool HasBareLf(const std::string &text)
 {
 	for (size_t at = text.find('\n'); at != std::string::npos; at = text.find('\n', at + 1)) {
@@ -30,7 +30,7 @@
 	return false;
 }
 
-/** Copies fields from a Beast message. */
+/** Copies the header fields of a Beast message. */
 template <class Message>
 HeaderList FieldsOf(const Message &message)
 {
@@ -43,9 +43,9 @@
 
 /**
  * Serializes a Beast message.
- * @param serializer The serializer.
- * @param head_only Whether to stop behind the head.
- * @return Bytes.
+ * @param serializer Serializer of the message.
+ * @param head_only Whether to stop after the head.
+ * @return The message as sent on the wire.
  */
 template <class Serializer>
 std::string Serialize(Serializer &serializer, bool head_only)
@@ -67,7 +67,7 @@
 
 } // namespace
 
-/** Beast's request parser with the body as a string. */
+/** Beast's request parser, storing the body in a string. */
 struct RequestReader::Parser {
 	http::request_parser<http::string_body> beast; ///< The parser.
 };
@@ -86,7 +86,7 @@
 	this->parser->beast.body_limit(this->limits.body_bytes);
 	this->parser->beast.eager(true);
 	this->started = false;
-	this->continued = false;
+	this->continue_sent = false;
 }
 
 bool RequestReader::HasPartialRequest() const
@@ -99,10 +99,11 @@
 	return this->parser->beast.is_header_done();
 }
 
-bool RequestReader::HeadIsBad() const
+bool RequestReader::HeadIsInvalid() const
 {
 	const auto &message = this->parser->beast.get();
-	/* Beast ends a request of an unknown transfer coding with an empty body; its rest would pass for a request. */
+	/* Beast treats a request with an unknown transfer coding as having no body; the body would be parsed as the next
+	 * request. */
 	const auto codings = message.count(http::field::transfer_encoding);
 	if (codings > 1 ||
 		(codings == 1 && !EqualsIgnoreCase(std::string(message[http::field::transfer_encoding]), "chunked"))) {
@@ -110,11 +111,11 @@
 	}
 	const std::string length(message[http::field::content_length]);
 	if (length.find_first_not_of("0123456789") != std::string::npos) {
-		return true; /* Beast takes a list of equal lengths; others may read it differently. */
+		return true; /* Beast accepts a list of equal lengths; other servers may interpret it differently. */
 	}
-	const bool old = message.version() < HTTP_1_1;
+	const bool http_1_0 = message.version() < HTTP_1_1;
 	const auto hosts = message.count(http::field::host);
-	return (old && codings > 0) || hosts > 1 || (!old && hosts == 0) || message.target().empty();
+	return (http_1_0 && codings > 0) || hosts > 1 || (!http_1_0 && hosts == 0) || message.target().empty();
 }
 
 ParseProgress RequestReader::Parse()
@@ -126,7 +127,7 @@
 		this->buf.erase(0, n);
 		this->started = this->started || n > 0;
 		if (ec == http::error::need_more) {
-			/* Beast waits for a CR that a head with bare LFs never brings. */
+			/* Beast keeps waiting for a CR if the head uses bare LFs. */
 			if (!beast.is_header_done() && HasBareLf(this->buf)) {
 				this->error = ResultCode::RC_BAD_REQUEST;
 				return ParseProgress::PR_BAD;
@@ -144,16 +145,16 @@
 			return ParseProgress::PR_BAD;
 		}
 	}
-	if (beast.is_header_done() && this->HeadIsBad()) {
+	if (beast.is_header_done() && this->HeadIsInvalid()) {
 		this->error = ResultCode::RC_BAD_REQUEST;
 		return ParseProgress::PR_BAD;
 	}
 	if (beast.is_done()) {
 		return ParseProgress::PR_READY;
 	}
-	if (beast.is_header_done() && !this->continued &&
+	if (beast.is_header_done() && !this->continue_sent &&
 		EqualsIgnoreCase(std::string(beast.get()[http::field::expect]), "100-continue")) {
-		this->continued = true;
+		this->continue_sent = true;
 		return ParseProgress::PR_CONTINUE;
 	}
 	return ParseProgress::PR_MORE;
@@ -163,7 +164,7 @@
 {
 	auto message = this->parser->beast.release();
 	this->keep_alive = message.keep_alive();
-	this->chunks = message.version() >= HTTP_1_1;
+	this->accepts_chunked = message.version() >= HTTP_1_1;
 	CallerRequest request;
 	request.method = std::string(message.method_string());
 	request.target = std::string(message.target());
@@ -173,21 +174,21 @@
 	return request;
 }
 
-/** Beast's response parser with the body passed through. */
+/** Beast's response parser, passing the body on in parts. */
 struct ResponseReader::Parser {
 	http::response_parser<http::buffer_body> beast; ///< The parser.
 };
 
 namespace {
 
-/** Takes a part of a body until it is passed on: one for all readers of a thread. */
-thread_local std::array<char, BODY_PART> _body_part;
+/** Buffer for a part of a body, shared by all readers of a thread. */
+thread_local std::array<char, BODY_PART_BYTES> _body_part;
 
 } // namespace
 
 ResponseReader::ResponseReader(bool head_request) : head_request(head_request), parser(std::make_unique<Parser>())
 {
-	this->parser->beast.body_limit(ANY_LENGTH);
+	this->parser->beast.body_limit(NO_BODY_LIMIT);
 	this->parser->beast.skip(head_request);
 }
 
@@ -198,7 +199,7 @@
 	return this->done && this->parser->beast.keep_alive();
 }
 
-void ResponseReader::PassHead(ResponseHandler &parts)
+void ResponseReader::DeliverHead(ResponseHandler &parts)
 {
 	const auto &message = this->parser->beast.get();
 	ResponseHead head;
@@ -226,13 +227,13 @@
 		return true;
 	}
 	if (static_cast<int>(beast.get().result_int()) < STATUS_FIRST_FINAL) {
-		/* An interim answer: the real one follows. */
+		/* Interim response: the final one follows. */
 		this->parser = std::make_unique<Parser>();
-		this->parser->beast.body_limit(ANY_LENGTH);
+		this->parser->beast.body_limit(NO_BODY_LIMIT);
 		this->parser->beast.skip(this->head_request);
 		return true;
 	}
-	this->PassHead(parts);
+	this->DeliverHead(parts);
 	return true;
 }
 
@@ -291,11 +292,11 @@
 
 std::string WriteRequest(const CallerRequest &request, const std::string &host)
 {
-	/* Written by hand: a serializer took an owner longer than its socket did. */
+	/* Does not use Beast's serializer: it cost an owner more time than the socket writes. */
 	const bool has_body =
 			!request.body.empty() || request.method == "POST" || request.method == "PUT" || request.method == "PATCH";
 	std::string out;
-	out.reserve(HEAD_BYTES + request.body.size());
+	out.reserve(HEAD_RESERVE_BYTES + request.body.size());
 	out.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
 	for (const HeaderField &field : request.headers.fields) {
 		out.append(field.name).append(": ").append(field.value).append("\r\n");
--- a/src/net/http_codec.h
+++ b/src/net/http_codec.h
@@ -1,4 +1,4 @@
-/** @file http_codec.h HTTP/1.1 messages by Boost.Beast's parsers and serializers; bytes in, bytes out, no sockets. */
+/** @file http_codec.h Parsing and serializing of HTTP/1.1 messages with Boost.Beast, independent of sockets. */
 #ifndef HTTP_CODEC_H
 #define HTTP_CODEC_H
 
@@ -7,54 +7,54 @@
 #include <memory>
 #include <string>
 
-/** Limits on what a caller may send. */
+/** Size limits of requests. */
 struct HttpLimits {
-	size_t header_bytes = 16 * 1024; ///< Longest head of a request.
-	size_t body_bytes = 1024 * 1024; ///< Longest body of a request.
+	size_t header_bytes = 16 * 1024; ///< Maximum size of a request head.
+	size_t body_bytes = 1024 * 1024; ///< Maximum size of a request body.
 };
 
-/** How far a request is read. */
+/** Parsing progress of a request. */
 enum class ParseProgress : uint8_t {
 	PR_MORE = 0,     ///< More bytes are needed.
-	PR_CONTINUE = 1, ///< The head is there and the caller waits for "100 Continue".
-	PR_READY = 2,    ///< The request is whole.
-	PR_BAD = 3,      ///< It is not valid or over a limit: see Error().
+	PR_CONTINUE = 1, ///< The head is complete and the caller waits for "100 Continue".
+	PR_READY = 2,    ///< The request is complete.
+	PR_BAD = 3,      ///< The request is invalid or exceeds a limit: see Error().
 };
 
-/** Reads one request after the other from a stream of bytes. */
+/** Parses successive requests from a byte stream. */
 class RequestReader {
 public:
 	explicit RequestReader(HttpLimits limits);
 	~RequestReader();
 
 	/**
-	 * Adds bytes that came from the caller.
+	 * Adds received bytes.
 	 * @param data The bytes.
 	 */
 	void Append(std::string_view data) { this->buf.append(data); }
 
-	/** @return How far the next request is, after parsing what is there. */
+	/** Parses the buffered bytes. @return Progress of the current request. */
 	ParseProgress Parse();
 
-	/** @return The request, after PR_READY; the reader goes on to the next. */
+	/** @return The request, after PR_READY; the reader advances to the next one. */
 	CallerRequest Take();
 
-	/** @return Why, after PR_BAD. */
+	/** @return Reason of PR_BAD. */
 	[[nodiscard]] ResultCode Error() const { return this->error; }
 
-	/** @return Whether the caller wants the connection to stay, of the request taken last. */
+	/** @return Whether the last request taken asked for a persistent connection. */
 	[[nodiscard]] bool KeepAlive() const { return this->keep_alive; }
 
-	/** @return Whether the request taken last was HTTP/1.1: its caller understands chunks. */
-	[[nodiscard]] bool AcceptsChunked() const { return this->chunks; }
+	/** @return Whether the last request taken was HTTP/1.1, so that its caller supports chunked responses. */
+	[[nodiscard]] bool AcceptsChunked() const { return this->accepts_chunked; }
 
-	/** @return Whether bytes of a request are there, but not all of them. */
+	/** @return Whether a request has been received in part. */
 	[[nodiscard]] bool HasPartialRequest() const;
 
-	/** @return Whether the head of the current request is whole. */
+	/** @return Whether the head of the current request is complete. */
 	[[nodiscard]] bool HeadDone() const;
 
-	/** @return Bytes waiting. */
+	/** @return Number of bytes not parsed yet. */
 	[[nodiscard]] size_t Buffered() const { return this->buf.size(); }
 
 private:
@@ -63,105 +63,105 @@
 	HttpLimits limits;                    ///< Limits.
 	std::string buf;                      ///< Bytes not parsed yet.
 	std::unique_ptr<Parser> parser;       ///< Beast's parser of the current request.
-	ResultCode error = ResultCode::RC_OK; ///< Why it is bad.
-	bool keep_alive = true;               ///< Of the request taken last.
-	bool chunks = true;                   ///< Of the request taken last.
-	bool started = false;                 ///< Whether the parser has seen bytes.
-	bool continued = false;               ///< Whether PR_CONTINUE was returned.
+	ResultCode error = ResultCode::RC_OK; ///< Reason of PR_BAD.
+	bool keep_alive = true;               ///< For KeepAlive().
+	bool accepts_chunked = true;          ///< For AcceptsChunked().
+	bool started = false;                 ///< Whether the parser has consumed bytes.
+	bool continue_sent = false;           ///< Whether PR_CONTINUE was returned.
 
 	void Reset();
-	[[nodiscard]] bool HeadIsBad() const;
+	[[nodiscard]] bool HeadIsInvalid() const;
 };
 
-/** Gets the parts of an answer. */
+/** Receives the parts of a response. */
 class ResponseHandler {
 public:
 	virtual ~ResponseHandler() = default;
-	virtual void OnHead(ResponseHead head) = 0;     ///< The head.
-	virtual void OnBody(std::string_view data) = 0; ///< A part of the body.
+	virtual void OnHead(ResponseHead head) = 0;     ///< Called once with the head.
+	virtual void OnBody(std::string_view data) = 0; ///< Called with each part of the body.
 };
 
-/** Reads one answer from a stream of bytes. */
+/** Parses one response from a byte stream. */
 class ResponseReader {
 public:
 	/**
-	 * @param head_request Whether the request was HEAD: no body follows.
+	 * @param head_request Whether the request was HEAD, so that the response has no body.
 	 */
 	explicit ResponseReader(bool head_request);
 	~ResponseReader();
 
 	/**
-	 * Reads bytes.
+	 * Parses received bytes.
 	 * @param data The bytes.
-	 * @param parts Gets the parts.
-	 * @return False when the bytes are no valid answer.
+	 * @param handler Receives the parts.
+	 * @return False if the bytes are not a valid response.
 	 */
 	bool Read(std::string_view data, ResponseHandler &parts);
 
 	/**
-	 * The endpoint closed.
-	 * @return Whether the answer is whole by that: its end was not told otherwise.
+	 * Handles the end of the stream.
+	 * @return Whether the response is complete: already before, or because its body lasts until the connection closes.
 	 */
 	bool Eof();
 
-	/** @return Whether the answer is whole. */
+	/** @return Whether the response is complete. */
 	[[nodiscard]] bool Done() const { return this->done; }
 
-	/** @return Whether the head is whole. */
+	/** @return Whether the head has been received. */
 	[[nodiscard]] bool HeadDone() const { return this->head_done; }
 
-	/** @return Whether the connection may carry another request. */
+	/** @return Whether the connection may be reused for another request. */
 	[[nodiscard]] bool KeepAlive() const;
 
-	/** @return Whether bytes came after the answer: the connection must not be used again. */
+	/** @return Whether bytes follow the response: the connection must not be reused. */
 	[[nodiscard]] bool HasExcess() const { return !this->buf.empty(); }
 
 private:
 	struct Parser;
 
-	bool head_request;              ///< No body follows.
+	bool head_request;              ///< Whether the request was HEAD.
 	std::string buf;                ///< Bytes not parsed yet.
-	std::unique_ptr<Parser> parser; ///< Beast's parser.
-	bool head_done = false;         ///< Whether the head was passed on.
-	bool done = false;              ///< Whether the answer is whole.
+	std::unique_ptr<Parser> parser; ///< Beast's parser of the response.
+	bool head_done = false;         ///< Whether the head was delivered.
+	bool done = false;              ///< Whether the response is complete.
 
-	void PassHead(ResponseHandler &parts);
+	void DeliverHead(ResponseHandler &parts);
 	bool ReadHead(ResponseHandler &parts);
 	bool ReadBody(ResponseHandler &parts);
 };
 
 /**
- * Writes a whole request.
- * @param request The request, with the fields that are to be sent; framing is added.
+ * Serializes a request.
+ * @param request The request with all header fields to send; Content-Length is added.
  * @param host Value of the Host field, if the request has none.
- * @return Bytes.
+ * @return The request as sent on the wire.
  */
 std::string WriteRequest(const CallerRequest &request, const std::string &host);
 
-/** How the body of an answer is framed. */
+/** Framing of a response body. */
 enum class BodyFraming : uint8_t {
-	BF_LENGTH = 0, ///< By a known length, or there is none.
-	BF_CHUNKS = 1, ///< In chunks.
-	BF_CLOSE = 2,  ///< Ends with the connection.
+	BF_LENGTH = 0, ///< Content-Length, or no body.
+	BF_CHUNKS = 1, ///< Chunked transfer coding.
+	BF_CLOSE = 2,  ///< The body ends when the connection closes.
 };
 
 /**
- * Writes the head of an answer.
+ * Serializes the head of a response.
  * @param head The head.
- * @param framing How its body is framed.
- * @param keep_alive Whether the connection stays.
- * @return Bytes.
+ * @param framing Framing of the body.
+ * @param keep_alive Whether the connection stays open after the response.
+ * @return The head as sent on the wire.
  */
 std::string WriteResponseHead(const ResponseHead &head, BodyFraming framing, bool keep_alive);
 
 /**
- * Frames a part of a body as a chunk.
+ * Encodes a part of a body as a chunk.
  * @param data The part; must not be empty.
- * @return Bytes.
+ * @return The chunk as sent on the wire.
  */
 std::string WriteChunk(std::string_view data);
 
-/** @return Bytes that end a body in chunks. */
+/** @return The chunk that ends a body in chunked coding. */
 std::string_view FinalChunk();
 
 #endif /* HTTP_CODEC_H */
--- a/src/net/http_line.cpp
+++ b/src/net/http_connection.cpp
@@ -1,5 +1,5 @@
-/** @file http_line.cpp Kept connections for whole HTTP calls. */
-#include "http_line.h"
+/** @file http_connection.cpp Persistent connections for complete HTTP calls. */
+#include "http_connection.h"
 
 #include <QtEndian>
 
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr size_t READ_BYTES = 65536; ///< Taken from a socket at once; what is left comes with the next turn.
-constexpr Millis SWEEP_EVERY(2000);  ///< Connections that are idle for too long are closed so often.
+constexpr size_t READ_BUFFER_BYTES = 65536; ///< Bytes read per iteration of the event loop.
+constexpr Millis SWEEP_INTERVAL(2000);      ///< Interval between checks for connections that have been idle too long.
 
-/** @return Socket address of an IPv4 address. */
+/** @return Socket address of an IPv4 address and port. @param to The address and port. */
 sockaddr_in SocketAddress(const NetAddress &to)
 {
 	sockaddr_in out{};
@@ -30,7 +30,7 @@
 
 } // namespace
 
-HttpLine::HttpLine(QtScheduler &scheduler, const NetAddress &to, Millis connect_wait) : scheduler(scheduler)
+HttpConnection::HttpConnection(QtScheduler &scheduler, const NetAddress &to, Millis connect_wait) : scheduler(scheduler)
 {
 	this->Connect(to);
 	this->timer = this->scheduler.After(connect_wait, [this] {
@@ -39,12 +39,12 @@
 	});
 }
 
-HttpLine::~HttpLine()
+HttpConnection::~HttpConnection()
 {
 	this->Close();
 }
 
-void HttpLine::Connect(const NetAddress &to)
+void HttpConnection::Connect(const NetAddress &to)
 {
 	this->descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (this->descriptor < 0) {
@@ -68,7 +68,7 @@
 					 [this] { this->OnReadable(); });
 }
 
-void HttpLine::Call(std::string bytes, HttpLineEvents &events)
+void HttpConnection::Call(std::string bytes, HttpConnectionEvents &events)
 {
 	this->events = &events;
 	this->reader = std::make_unique<ResponseReader>(false);
@@ -83,7 +83,7 @@
 	}
 }
 
-void HttpLine::OnWritable()
+void HttpConnection::OnWritable()
 {
 	if (!this->connected) {
 		int error = 0;
@@ -100,7 +100,7 @@
 	this->Send();
 }
 
-void HttpLine::Send()
+void HttpConnection::Send()
 {
 	this->sent = this->sent || !this->unsent.empty();
 	while (!this->unsent.empty()) {
@@ -120,19 +120,19 @@
 	this->writable->setEnabled(!this->unsent.empty());
 }
 
-void HttpLine::OnReadable()
+void HttpConnection::OnReadable()
 {
-	static thread_local std::array<char, READ_BYTES> buf;
+	static thread_local std::array<char, READ_BUFFER_BYTES> buf;
 	const ssize_t n = ::recv(this->descriptor, buf.data(), buf.size(), 0);
 	if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
 		return;
 	}
 	if (this->events == nullptr) {
-		this->Close(); /* The other end closes it, or says what nobody has asked for. */
+		this->Close(); /* The other end closed the connection or sent unsolicited data. */
 		return;
 	}
 	if (n <= 0) {
-		this->OnEnd();
+		this->OnPeerClosed();
 		return;
 	}
 	if (!this->reader->Read(std::string_view(buf.data(), static_cast<size_t>(n)), *this)) {
@@ -142,7 +142,7 @@
 	}
 }
 
-void HttpLine::OnEnd()
+void HttpConnection::OnPeerClosed()
 {
 	if (this->reader->Eof()) {
 		this->Complete();
@@ -151,7 +151,7 @@
 	}
 }
 
-void HttpLine::Complete()
+void HttpConnection::Complete()
 {
 	this->idle_since = this->scheduler.Now();
 	if (!this->reader->KeepAlive() || this->reader->HasExcess() || !this->unsent.empty()) {
@@ -160,34 +160,35 @@
 	std::exchange(this->events, nullptr)->OnAnswer(this->status, std::move(this->body));
 }
 
-void HttpLine::Fail()
+void HttpConnection::Fail()
 {
 	this->Close();
-	if (HttpLineEvents *told = std::exchange(this->events, nullptr); told != nullptr) {
-		told->OnFailed(this->sent);
+	if (HttpConnectionEvents *receiver = std::exchange(this->events, nullptr); receiver != nullptr) {
+		receiver->OnFailed(this->sent);
 	}
 }
 
-void HttpLine::FailLater()
+void HttpConnection::FailLater()
 {
 	this->Close();
-	this->scheduler.Post([this, still = std::weak_ptr<bool>(this->alive)] {
-		if (!still.expired()) {
+	this->scheduler.Post([this, weak_alive = std::weak_ptr<bool>(this->alive)] {
+		if (!weak_alive.expired()) {
 			this->Fail();
 		}
 	});
 }
 
-void HttpLine::Drop()
+void HttpConnection::Abandon()
 {
 	this->events = nullptr;
 	this->Close();
 }
 
-void HttpLine::Close()
+void HttpConnection::Close()
 {
 	this->scheduler.Cancel(std::exchange(this->timer, TimerId()));
-	/* Their own signals may be on the stack. Unregistered before the descriptor's number can be given to another. */
+	/* Deleted later, as a notifier's own signal may be on the stack; disabled now, before the descriptor's number can
+	 * be reused. */
 	for (std::unique_ptr<QSocketNotifier> *it : {&this->readable, &this->writable}) {
 		if (*it) {
 			(*it)->setEnabled(false);
@@ -199,61 +200,61 @@
 	}
 }
 
-HttpLines::HttpLines(QtScheduler &scheduler, DialLimits limits) : scheduler(scheduler), limits(limits)
+HttpConnectionPool::HttpConnectionPool(QtScheduler &scheduler, DialLimits limits) : scheduler(scheduler), limits(limits)
 {
-	this->timer = this->scheduler.After(SWEEP_EVERY, [this] { this->Sweep(); });
+	this->timer = this->scheduler.After(SWEEP_INTERVAL, [this] { this->Sweep(); });
 }
 
-HttpLines::~HttpLines()
+HttpConnectionPool::~HttpConnectionPool()
 {
 	this->scheduler.Cancel(this->timer);
 }
 
-bool HttpLines::Usable(const HttpLine &line) const
+bool HttpConnectionPool::Reusable(const HttpConnection &connection) const
 {
-	return line.Idle() && line.IdleSince() + this->limits.idle_wait > this->scheduler.Now();
+	return connection.Idle() && connection.IdleSince() + this->limits.idle_wait > this->scheduler.Now();
 }
 
-std::unique_ptr<HttpLine> HttpLines::Take(const std::string &address)
+std::unique_ptr<HttpConnection> HttpConnectionPool::Acquire(const std::string &address)
 {
 	if (const auto it = this->by_address.find(address); it != this->by_address.end()) {
-		/* The newest first: the oldest may be about to be closed by the other end. */
+		/* Newest first: the other end closes the oldest ones first. */
 		while (!it->second.empty()) {
-			std::unique_ptr<HttpLine> line = std::move(it->second.back());
+			std::unique_ptr<HttpConnection> connection = std::move(it->second.back());
 			it->second.pop_back();
-			if (this->Usable(*line)) {
-				return line;
+			if (this->Reusable(*connection)) {
+				return connection;
 			}
 		}
 	}
 	const std::optional<NetAddress> to = ParseAddress(address);
-	return to ? std::make_unique<HttpLine>(this->scheduler, *to, this->limits.connect_wait) : nullptr;
+	return to ? std::make_unique<HttpConnection>(this->scheduler, *to, this->limits.connect_wait) : nullptr;
 }
 
-void HttpLines::Keep(const std::string &address, std::unique_ptr<HttpLine> line)
+void HttpConnectionPool::Release(const std::string &address, std::unique_ptr<HttpConnection> connection)
 {
-	if (!line->Idle()) {
+	if (!connection->Idle()) {
 		return;
 	}
 	auto &list = this->by_address[address];
-	if (list.size() >= this->limits.idle_each) {
+	if (list.size() >= this->limits.idle_per_endpoint) {
 		list.erase(list.begin());
 	}
-	list.push_back(std::move(line));
+	list.push_back(std::move(connection));
 }
 
-void HttpLines::DropIdle(const std::string &address, Millis since)
+void HttpConnectionPool::CloseIdle(const std::string &address, Millis since)
 {
 	if (const auto it = this->by_address.find(address); it != this->by_address.end()) {
-		std::erase_if(it->second, [since](const auto &line) { return line->IdleSince() <= since; });
+		std::erase_if(it->second, [since](const auto &connection) { return connection->IdleSince() <= since; });
 	}
 }
 
-void HttpLines::Sweep()
+void HttpConnectionPool::Sweep()
 {
 	for (auto &list : this->by_address | std::views::values) {
-		std::erase_if(list, [this](const auto &line) { return !this->Usable(*line); });
+		std::erase_if(list, [this](const auto &connection) { return !this->Reusable(*connection); });
 	}
 	std::erase_if(this->by_address, [](const auto &it) { return it.second.empty(); });
-	this->timer = this->scheduler.After(SWEEP_EVERY, [this] { this->Sweep(); });
+	this->timer = this->scheduler.After(SWEEP_INTERVAL, [this] { this->Sweep(); });
 }
--- a/src/net/monotonic_clock.h
+++ b/src/net/monotonic_clock.h
@@ -1,21 +1,21 @@
-/** @file monotonic_clock.h Clock that never goes back and counts also the time for which the machine was suspended. */
+/** @file monotonic_clock.h Monotonic clock that includes the time during which the machine was suspended. */
 #ifndef MONOTONIC_CLOCK_H
 #define MONOTONIC_CLOCK_H
 
 #include "../strong_type.h"
 
-/** A clock that never goes back. */
+/** A clock that never moves backwards. */
 class MonotonicClock {
 public:
 	virtual ~MonotonicClock() = default;
 
-	/** @return Time since some moment before the process began. */
+	/** @return Time since a fixed point before the start of the process. */
 	[[nodiscard]] virtual Millis Now() const = 0;
 };
 
 /**
- * @return The machine's clock since it was started, with the time for which it was suspended. An owner that slept must
- * not act by the right that it had before, nor answer callers who have left meanwhile.
+ * @return Clock of the time since the machine's boot, including suspended time. After a suspension an owner must
+ * neither act on a lease from before it nor answer callers that have disconnected since.
  */
 const MonotonicClock &SystemClock();
 
--- a/src/net/platform_client.cpp
+++ b/src/net/platform_client.cpp
@@ -1,4 +1,4 @@
-/** @file platform_client.cpp The platform over HTTP. */
+/** @file platform_client.cpp HTTP client of the platform. */
 #include "platform_client.h"
 
 #include <QJsonArray>
@@ -8,37 +8,37 @@
 
 namespace {
 
-constexpr int APPEND_TIMEOUT = 3000;     ///< ms; an append without an answer by then counts as lost.
-constexpr int READ_TIMEOUT = 4000;       ///< ms; longer than the long poll.
-constexpr int CALL_TIMEOUT = 2000;       ///< ms; of other calls.
-constexpr int LONG_POLL = 1000;          ///< ms that the log may wait for a record to come.
-constexpr int STATUS_OK = 200;           ///< HTTP status.
-constexpr int STATUS_NOT_MODIFIED = 304; ///< The list is the one that is known.
-constexpr int STATUS_GONE = 410;         ///< The log has forgotten the offset.
-constexpr int STATUS_THROTTLED = 429;    ///< Append limit reached.
-constexpr int STATUS_DOWN = 503;         ///< The log takes nothing now.
-
-/** Reads an unsigned number that JSON carries as text, since its own numbers are too short. */
-uint64_t WideOf(const QJsonValue &value)
+constexpr int APPEND_TIMEOUT_MS = 3000;  ///< Time limit of an append; its result is unknown afterwards.
+constexpr int READ_TIMEOUT_MS = 4000;    ///< Time limit of a log read; longer than the long poll.
+constexpr int CALL_TIMEOUT_MS = 2000;    ///< Time limit of other calls.
+constexpr int LONG_POLL_MS = 1000;       ///< Time that the log may wait for a new record.
+constexpr int STATUS_OK = 200;           ///< The request succeeded.
+constexpr int STATUS_NOT_MODIFIED = 304; ///< The cached list is current.
+constexpr int STATUS_GONE = 410;         ///< The log no longer has the offset.
+constexpr int STATUS_THROTTLED = 429;    ///< The append rate limit is exceeded.
+constexpr int STATUS_UNAVAILABLE = 503;  ///< The log is unavailable and did not accept the record.
+
+/** Parses a 64-bit number from a JSON string, as JSON numbers lose precision. */
+uint64_t ParseUint64(const QJsonValue &value)
 {
 	return value.toString().toULongLong();
 }
 
-ReadAnswer ReadAnswerOf(const QByteArray &body)
+ReadAnswer ParseReadAnswer(const QByteArray &body)
 {
 	const QJsonObject json = QJsonDocument::fromJson(body).object();
 	ReadAnswer answer;
-	answer.oldest = LogOffset(WideOf(json["oldest"]));
-	answer.newest = LogOffset(WideOf(json["newest"]));
+	answer.oldest = LogOffset(ParseUint64(json["oldest"]));
+	answer.newest = LogOffset(ParseUint64(json["newest"]));
 	for (const QJsonValue it : json["records"].toArray()) {
 		const QByteArray data = QByteArray::fromBase64(it["data"].toString().toLatin1());
-		answer.records.push_back(LogRecord{LogOffset(WideOf(it["offset"])),
-										   Millis(static_cast<int64_t>(WideOf(it["stamp"]))), data.toStdString()});
+		answer.records.push_back(LogRecord{LogOffset(ParseUint64(it["offset"])),
+										   Millis(static_cast<int64_t>(ParseUint64(it["stamp"]))), data.toStdString()});
 	}
 	return answer;
 }
 
-ListedBox ListedBoxOf(const QJsonObject &json)
+ListedBox ParseListedBox(const QJsonObject &json)
 {
 	ListedBox box;
 	box.name = BoxName(json["name"].toString().toStdString());
@@ -52,12 +52,12 @@
 	} else {
 		box.health = state == "leaving" ? BoxHealth::BH_LEAVING : BoxHealth::BH_DOWN;
 	}
-	box.booted_for = PermitId(WideOf(json["booted_for"]));
+	box.booted_for = PermitId(ParseUint64(json["booted_for"]));
 	box.checks_pass = json["checks_pass"].toBool(true);
 	return box;
 }
 
-QByteArray JobBody(const Job &job)
+QByteArray EncodeJob(const Job &job)
 {
 	QJsonObject json;
 	json["job"] = QString::fromStdString(job.name.Value());
@@ -96,16 +96,16 @@
 
 void PlatformClient::Append(std::string record, std::function<void(AppendAnswer)> done)
 {
-	this->Call("POST", "/log/append", QByteArray::fromStdString(record), APPEND_TIMEOUT,
+	this->Call("POST", "/log/append", QByteArray::fromStdString(record), APPEND_TIMEOUT_MS,
 			   [done = std::move(done)](const Reply &reply) {
 				   AppendAnswer answer;
 				   if (reply.status == STATUS_OK) {
-					   answer.offset = LogOffset(WideOf(QJsonDocument::fromJson(reply.body).object()["offset"]));
+					   answer.offset = LogOffset(ParseUint64(QJsonDocument::fromJson(reply.body).object()["offset"]));
 				   } else if (reply.status == STATUS_THROTTLED) {
 					   answer.code = ResultCode::RC_LOG_THROTTLED;
 				   } else {
-					   answer.code = reply.status == STATUS_DOWN ? ResultCode::RC_LOG_UNAVAILABLE
-																 : ResultCode::RC_LOG_ANSWER_LOST;
+					   answer.code = reply.status == STATUS_UNAVAILABLE ? ResultCode::RC_LOG_UNAVAILABLE
+																		: ResultCode::RC_LOG_ANSWER_LOST;
 				   }
 				   done(answer);
 			   });
@@ -113,11 +113,12 @@
 
 void PlatformClient::Read(LogOffset from, std::function<void(ReadAnswer)> done)
 {
-	const std::string path = "/log/read?from=" + std::to_string(from.Value()) + "&wait_ms=" + std::to_string(LONG_POLL);
-	this->Call("GET", path, {}, READ_TIMEOUT, [done = std::move(done)](const Reply &reply) {
+	const std::string path =
+			"/log/read?from=" + std::to_string(from.Value()) + "&wait_ms=" + std::to_string(LONG_POLL_MS);
+	this->Call("GET", path, {}, READ_TIMEOUT_MS, [done = std::move(done)](const Reply &reply) {
 		ReadAnswer answer;
 		if (reply.status == STATUS_OK || reply.status == STATUS_GONE) {
-			answer = ReadAnswerOf(reply.body);
+			answer = ParseReadAnswer(reply.body);
 			answer.code = reply.status == STATUS_OK ? ResultCode::RC_OK : ResultCode::RC_LOG_FORGOTTEN;
 		} else {
 			answer.code = ResultCode::RC_LOG_UNAVAILABLE;
@@ -128,12 +129,12 @@
 
 void PlatformClient::Fetch(std::function<void(ResultCode, std::vector<ListedBox>)> done)
 {
-	const auto take = [this, done = std::move(done)](const Reply &reply) {
+	const auto on_reply = [this, done = std::move(done)](const Reply &reply) {
 		if (reply.status == STATUS_OK) {
 			this->listed.clear();
 			const QJsonArray rows = QJsonDocument::fromJson(reply.body).array();
 			for (const QJsonValue it : rows) {
-				this->listed.push_back(ListedBoxOf(it.toObject()));
+				this->listed.push_back(ParseListedBox(it.toObject()));
 			}
 			this->list_etag = reply.etag;
 		}
@@ -141,29 +142,29 @@
 		done(known ? ResultCode::RC_OK : ResultCode::RC_LOG_UNAVAILABLE,
 			 known ? this->listed : std::vector<ListedBox>());
 	};
-	/* The list is long and seldom changes: only its version goes over the wire then. */
-	this->Call("GET", "/boxes", {}, CALL_TIMEOUT, take, this->list_etag);
+	/* The list is long and seldom changes: If-None-Match avoids transferring an unchanged one. */
+	this->Call("GET", "/boxes", {}, CALL_TIMEOUT_MS, on_reply, this->list_etag);
 }
 
 void PlatformClient::Reboot(const BoxName &box, PermitId permit)
 {
 	const std::string path = "/boxes/reboot?box=" + box.Value() + "&permit=" + std::to_string(permit.Value());
-	this->Call("POST", path, {}, CALL_TIMEOUT, [](const Reply &) {});
+	this->Call("POST", path, {}, CALL_TIMEOUT_MS, [](const Reply &) {});
 }
 
 void PlatformClient::StartJob(const Job &job)
 {
-	this->Call("POST", "/jobs/start", JobBody(job), CALL_TIMEOUT, [](const Reply &) {});
+	this->Call("POST", "/jobs/start", EncodeJob(job), CALL_TIMEOUT_MS, [](const Reply &) {});
 }
 
 void PlatformClient::StopJob(const Job &job)
 {
-	this->Call("POST", "/jobs/stop", JobBody(job), CALL_TIMEOUT, [](const Reply &) {});
+	this->Call("POST", "/jobs/stop", EncodeJob(job), CALL_TIMEOUT_MS, [](const Reply &) {});
 }
 
 void PlatformClient::FetchJobEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done)
 {
-	this->Call("GET", "/jobs/ends", {}, CALL_TIMEOUT, [done = std::move(done)](const Reply &reply) {
+	this->Call("GET", "/jobs/ends", {}, CALL_TIMEOUT_MS, [done = std::move(done)](const Reply &reply) {
 		std::vector<JobEnd> ends;
 		if (reply.status != STATUS_OK) {
 			done(ResultCode::RC_LOG_UNAVAILABLE, std::move(ends));
@@ -181,5 +182,5 @@
 void PlatformClient::Acknowledge(const JobEnd &end)
 {
 	const std::string path = "/jobs/ack?job=" + end.job.Value() + "&attempt=" + std::to_string(end.attempt);
-	this->Call("POST", path, {}, CALL_TIMEOUT, [](const Reply &) {});
+	this->Call("POST", path, {}, CALL_TIMEOUT_MS, [](const Reply &) {});
 }
--- a/src/net/platform_client.h
+++ b/src/net/platform_client.h
@@ -1,4 +1,4 @@
-/** @file platform_client.h The platform over HTTP, by QNetworkAccessManager: every call is idempotent by its ids. */
+/** @file platform_client.h HTTP client of the platform, using QNetworkAccessManager: ids make every call idempotent. */
 #ifndef PLATFORM_CLIENT_H
 #define PLATFORM_CLIENT_H
 
@@ -10,8 +10,8 @@
 #include <QNetworkReply>
 
 /**
- * Log, list of boxes and control of boxes of one platform. QNetworkAccessManager may send a POST twice when the first
- * got no answer; appends carry proposal ids and orders carry permits or attempts, so that a second does no harm.
+ * Log, box list and box control of one platform. QNetworkAccessManager may repeat a POST that got no response; appends
+ * carry proposal ids and orders carry permits or attempt numbers, so that a repeated request has no further effect.
  */
 class PlatformClient : public LogService, public BoxList, public BoxControl {
 public:
@@ -29,22 +29,22 @@
 	void FetchJobEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done) override;
 	void Acknowledge(const JobEnd &end) override;
 
-	/** @return Bytes of bodies sent and received. */
+	/** @return Bytes of request and response bodies. */
 	[[nodiscard]] uint64_t Bytes() const { return this->bytes; }
 
 private:
-	/** What came back. */
+	/** Response to a request. */
 	struct Reply {
-		int status = 0;  ///< HTTP status, 0 without an answer.
-		QByteArray body; ///< The body.
-		QByteArray etag; ///< Version of what was asked for, if the platform gave one.
+		int status = 0;  ///< HTTP status, or 0 without a response.
+		QByteArray body; ///< Response body.
+		QByteArray etag; ///< ETag of the resource, if any.
 	};
 
 	QNetworkAccessManager manager; ///< Qt's HTTP client.
-	std::string base;              ///< http://IP:port
-	QByteArray list_etag;          ///< Version of the list that is known.
-	std::vector<ListedBox> listed; ///< The list that is known.
-	uint64_t bytes = 0;            ///< Bytes of bodies.
+	std::string base;              ///< Base URL, http://IP:port.
+	QByteArray list_etag;          ///< ETag of the cached box list.
+	std::vector<ListedBox> listed; ///< Cached box list.
+	uint64_t bytes = 0;            ///< For Bytes().
 
 	void Call(const char *method, const std::string &path, const QByteArray &body, int timeout,
 			  std::function<void(const Reply &)> done, const QByteArray &known = {});
--- a/src/net/qt_scheduler.cpp
+++ b/src/net/qt_scheduler.cpp
@@ -1,4 +1,4 @@
-/** @file qt_scheduler.cpp Clock and timers on Qt's event loop of one thread. */
+/** @file qt_scheduler.cpp Clock and timers on the Qt event loop of a thread. */
 #include "qt_scheduler.h"
 
 #include <QDateTime>
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr Millis PAUSE(200); ///< A timer that is so late tells of a pause; on a slow machine they are some 10 ms late.
+constexpr Millis PAUSE_THRESHOLD(
+		200); ///< Lateness of a timer that indicates a pause; on a slow machine timers are about 10 ms late.
 
 } // namespace
 
@@ -60,31 +61,31 @@
 		return;
 	}
 	const Millis first = this->timers.begin()->first.at;
-	if (this->timer.isActive() && this->armed <= first) {
+	if (this->timer.isActive() && this->armed_for <= first) {
 		return;
 	}
-	this->armed = first;
+	this->armed_for = first;
 	this->timer.start(static_cast<int>(std::max<int64_t>((first - this->Now()).Value(), 0)));
 }
 
-void QtScheduler::NotePause()
+void QtScheduler::DetectPause()
 {
 	const Millis now = this->Now();
-	if (!this->timers.empty() && now - this->timers.begin()->first.at > PAUSE) {
-		this->paused_at = now;
+	if (!this->timers.empty() && now - this->timers.begin()->first.at > PAUSE_THRESHOLD) {
+		this->resumed_at = now;
 	}
 }
 
 Millis QtScheduler::ResumedAt()
 {
-	/* A socket may be served before the timers that are overdue. */
-	this->NotePause();
-	return this->paused_at;
+	/* Socket events may be handled before overdue timers run. */
+	this->DetectPause();
+	return this->resumed_at;
 }
 
 void QtScheduler::RunDue()
 {
-	this->NotePause();
+	this->DetectPause();
 	while (!this->timers.empty() && this->timers.begin()->first.at <= this->Now()) {
 		auto node = this->timers.extract(this->timers.begin());
 		this->due.erase(node.key().id);
--- a/src/net/qt_scheduler.h
+++ b/src/net/qt_scheduler.h
@@ -1,4 +1,4 @@
-/** @file qt_scheduler.h Clock and timers on Qt's event loop of one thread. */
+/** @file qt_scheduler.h Clock and timers on the Qt event loop of a thread. */
 #ifndef QT_SCHEDULER_H
 #define QT_SCHEDULER_H
 
@@ -9,10 +9,10 @@
 #include <QObject>
 #include <QTimer>
 
-/** Scheduler of the thread that makes it. One Qt timer serves all of ours. */
+/** Scheduler of the thread that creates it. A single Qt timer drives all timers. */
 class QtScheduler : public Scheduler {
 public:
-	/** @param clock What it goes by; outlives this. */
+	/** @param clock Time source; outlives this. */
 	explicit QtScheduler(const MonotonicClock &clock = SystemClock());
 
 	[[nodiscard]] Millis Now() const override;
@@ -22,8 +22,8 @@
 	void Post(std::function<void()> run) override;
 
 	/**
-	 * Notices pauses of the process: timers that run much too late.
-	 * @return When the process last went on after a pause.
+	 * Detects pauses of the process by overdue timers.
+	 * @return Time when the process last resumed after a pause; far in the past if there was none.
 	 */
 	[[nodiscard]] Millis ResumedAt();
 
@@ -31,25 +31,25 @@
 	[[nodiscard]] QObject *Context() { return &this->context; }
 
 private:
-	/** When a timer is due, and in which order among those of the moment. */
+	/** Sort key of a timer: expiry time, then id. */
 	struct Due {
-		Millis at;  ///< The moment.
-		TimerId id; ///< The order.
+		Millis at;  ///< Expiry time.
+		TimerId id; ///< Id, in order of creation.
 
 		auto operator<=>(const Due &) const = default;
 	};
 
-	const MonotonicClock &clock;                 ///< What it goes by.
-	QObject context;                             ///< Lives on the thread.
-	QTimer timer;                                ///< Rings for the earliest of ours.
-	uint64_t last_id = 0;                        ///< Last timer handed out.
-	std::map<Due, std::function<void()>> timers; ///< What is to run, in order.
-	std::map<TimerId, Millis> due;               ///< Moment of each, for Cancel().
-	Millis paused_at{-1000000};                  ///< For ResumedAt(); long ago at the start.
-	Millis armed;                                ///< Moment for which the Qt timer is set.
+	const MonotonicClock &clock;                 ///< Time source.
+	QObject context;                             ///< Lives on the scheduler's thread; receives posted functions.
+	QTimer timer;                                ///< Fires at the earliest expiry.
+	uint64_t last_id = 0;                        ///< Id of the last timer created.
+	std::map<Due, std::function<void()>> timers; ///< Functions to run, earliest first.
+	std::map<TimerId, Millis> due;               ///< Expiry time by id, for Cancel().
+	Millis resumed_at{-1000000};                 ///< For ResumedAt(); initially far in the past.
+	Millis armed_for;                            ///< Time for which the Qt timer is set.
 
 	void Arm();
-	void NotePause();
+	void DetectPause();
 	void RunDue();
 };
 
