--- a/src/bench/bench_output.h
+++ b/src/bench/bench_output.h
@@ -33,15 +33,15 @@
 	std::string page;                  ///< Page whose tables `capacity` writes; empty for none.
 };
 
-int RunMaintainBench(const BenchOptions &options); ///< Three weeks of maintenance, against baselines.
-int RunOptimumBench(const BenchOptions &options);  ///< Moves on small fleets, against the fewest possible.
-int RunFoldBench(const BenchOptions &options);     ///< Fold, snapshot and join at letter 1's size.
-int RunJobsBench(const BenchOptions &options);     ///< Urgent start, fairness, cancel waves.
-int RunConfigBench(const BenchOptions &options);   ///< Publish to in force.
-int RunOverloadBench(const BenchOptions &options); ///< Three times the capacity, with faults, against baselines.
-int RunSlotsBench(const BenchOptions &options);    ///< Shares of slots among entries.
-int RunProxyBench(const BenchOptions &options);    ///< Real sockets: throughput and added latency.
-int RunHolderBench(const BenchOptions &options);   ///< A look of the fleet's holder at 300, 1,200 and 5,000 boxes.
-int RunCapacityBench(const BenchOptions &options); ///< Slopes for docs/CAPACITY.md.
+int RunMaintainBench(const BenchOptions &options);   ///< Three weeks of maintenance, against baselines.
+int RunOptimumBench(const BenchOptions &options);    ///< Moves on small fleets, against the fewest possible.
+int RunFoldBench(const BenchOptions &options);       ///< Fold, snapshot and join at letter 1's size.
+int RunJobsBench(const BenchOptions &options);       ///< Urgent start, fairness, cancel waves.
+int RunConfigBench(const BenchOptions &options);     ///< Publish to in force.
+int RunOverloadBench(const BenchOptions &options);   ///< Three times the capacity, with faults, against baselines.
+int RunSlotsBench(const BenchOptions &options);      ///< Shares of slots among entries.
+int RunProxyBench(const BenchOptions &options);      ///< Real sockets: throughput and added latency.
+int RunFleetOwnerBench(const BenchOptions &options); ///< A look of the fleet's holder at 300, 1,200 and 5,000 boxes.
+int RunCapacityBench(const BenchOptions &options);   ///< Slopes for docs/CAPACITY.md.
 
 #endif /* BENCH_OUTPUT_H */
--- a/src/bench/capacity_bench.cpp
+++ b/src/bench/capacity_bench.cpp
@@ -14,28 +14,28 @@
 
 namespace {
 
-constexpr size_t RECORDS = 400; ///< Records of a synthetic log, after its set-up.
+constexpr size_t SYNTHETIC_RECORDS = 400; ///< Records of a synthetic log, after its set-up.
 
 /** State folded from a synthetic log, and what it took. */
-struct Folded {
-	FleetState fleet;       ///< The state.
-	double heap_bytes = 0;  ///< Heap that it holds.
-	double us_a_record = 0; ///< Time to fold a record.
+struct FoldResult {
+	FleetState fleet;         ///< The state.
+	double heap_bytes = 0;    ///< Heap that it holds.
+	double us_per_record = 0; ///< Time to fold a record.
 };
 
-Folded FoldSynthetic(const SyntheticSize &size)
+FoldResult FoldSyntheticLog(const SyntheticSize &size)
 {
-	const std::vector<LogRecord> log = SyntheticLog(size, RECORDS, 1);
-	Folded folded;
+	const std::vector<LogRecord> log = SyntheticLog(size, SYNTHETIC_RECORDS, 1);
+	FoldResult result;
 	const auto heap_before = static_cast<double>(mallinfo2().uordblks);
 	const auto begin = std::chrono::steady_clock::now();
 	for (const LogRecord &record : log) {
-		ApplyRecord(folded.fleet, record);
+		ApplyRecord(result.fleet, record);
 	}
 	const auto took = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count();
-	folded.us_a_record = took / static_cast<double>(log.size());
-	folded.heap_bytes = static_cast<double>(mallinfo2().uordblks) - heap_before;
-	return folded;
+	result.us_per_record = took / static_cast<double>(log.size());
+	result.heap_bytes = static_cast<double>(mallinfo2().uordblks) - heap_before;
+	return result;
 }
 
 /** Bytes of a frame that carries a message. */
@@ -51,8 +51,8 @@
 }
 
 /** Fits a line by least squares. */
-Slope FitLine(const std::string &name, const std::string &unit, const std::string &count_name,
-			  const std::vector<double> &counts, const std::vector<double> &values)
+LinearFit FitLine(const std::string &name, const std::string &unit, const std::string &count_name,
+				  const std::vector<double> &counts, const std::vector<double> &values)
 {
 	const auto n = static_cast<double>(counts.size());
 	double sum_x = 0;
@@ -65,23 +65,23 @@
 		sum_xx += counts[i] * counts[i];
 		sum_xy += counts[i] * values[i];
 	}
-	Slope slope;
-	slope.name = name;
-	slope.unit = unit;
-	slope.count = count_name;
-	slope.per_count = (n * sum_xy - sum_x * sum_y) / (n * sum_xx - sum_x * sum_x);
-	slope.base = (sum_y - slope.per_count * sum_x) / n;
+	LinearFit fit;
+	fit.name = name;
+	fit.unit = unit;
+	fit.count = count_name;
+	fit.per_count = (n * sum_xy - sum_x * sum_y) / (n * sum_xx - sum_x * sum_x);
+	fit.base = (sum_y - fit.per_count * sum_x) / n;
 	for (size_t i = 0; i < counts.size(); i++) {
-		const double fitted = slope.base + slope.per_count * counts[i];
-		slope.residual = std::max(slope.residual, std::abs(fitted - values[i]) / std::max(values[i], 1.0));
+		const double fitted = fit.base + fit.per_count * counts[i];
+		fit.residual = std::max(fit.residual, std::abs(fitted - values[i]) / std::max(values[i], 1.0));
 	}
-	slope.points = counts.size();
-	return slope;
+	fit.points = counts.size();
+	return fit;
 }
 
 /** Measures one quantity at four sizes of one count. */
-Slope Measure(const std::string &name, const std::string &unit, const std::string &count_name,
-			  const std::vector<uint32_t> &sizes, const std::function<double(uint32_t)> &value)
+LinearFit Measure(const std::string &name, const std::string &unit, const std::string &count_name,
+				  const std::vector<uint32_t> &sizes, const std::function<double(uint32_t)> &value)
 {
 	std::vector<double> counts;
 	std::vector<double> values;
@@ -92,7 +92,7 @@
 	return FitLine(name, unit, count_name, counts, values);
 }
 
-SyntheticSize Small()
+SyntheticSize SmallSize()
 {
 	SyntheticSize size;
 	size.jobs = 50;
@@ -100,32 +100,32 @@
 }
 
 /** Slopes of the keepers' state. */
-void MeasureState(std::vector<Slope> &slopes)
+void MeasureState(std::vector<LinearFit> &fits)
 {
-	const auto heap = [](const SyntheticSize &size) { return FoldSynthetic(size).heap_bytes; };
-	slopes.push_back(Measure("state", "B", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	const auto heap = [](const SyntheticSize &size) { return FoldSyntheticLog(size).heap_bytes; };
+	fits.push_back(Measure("state", "B", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		size.boxes = n;
 		return heap(size);
 	}));
-	slopes.push_back(Measure("state", "B", "pools", {5, 10, 20, 43}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	fits.push_back(Measure("state", "B", "pools", {5, 10, 20, 43}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		size.boxes = 100;
 		size.pools = n;
 		return heap(size);
 	}));
-	slopes.push_back(Measure("state", "B", "teams", {50, 150, 300, 610}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	fits.push_back(Measure("state", "B", "teams", {50, 150, 300, 610}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		size.teams = n;
 		return heap(size);
 	}));
-	slopes.push_back(Measure("state", "B", "entries", {8, 16, 32, 64}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	fits.push_back(Measure("state", "B", "entries", {8, 16, 32, 64}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		size.entries = n;
 		return heap(size);
 	}));
-	slopes.push_back(Measure("state", "B", "jobs", {250, 500, 1000, 1500}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	fits.push_back(Measure("state", "B", "jobs", {250, 500, 1000, 1500}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		const std::vector<LogRecord> log = SyntheticLog(size, n / 3, 1);
 		FleetState fleet;
 		const auto before = static_cast<double>(mallinfo2().uordblks);
@@ -138,22 +138,22 @@
 }
 
 /** Slopes of time: folding and planning. */
-void MeasureTime(std::vector<Slope> &slopes)
+void MeasureTime(std::vector<LinearFit> &fits)
 {
-	slopes.push_back(Measure("fold a record", "us", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	fits.push_back(Measure("fold a record", "us", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		size.boxes = n;
-		return FoldSynthetic(size).us_a_record;
+		return FoldSyntheticLog(size).us_per_record;
 	}));
-	slopes.push_back(Measure("planning step", "us", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
-		FleetPreset preset = PresetOf("letter1");
+	fits.push_back(Measure("planning step", "us", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
+		FleetPreset preset = PresetByName("letter1");
 		preset.boxes = n;
 		preset.pools = std::max(n * 43 / 1200, 2U);
-		FleetWorld world(preset, 1);
-		SyntheticSize size = Small();
+		SimulatedFleet world(preset, 1);
+		SyntheticSize size = SmallSize();
 		size.boxes = n;
 		size.pools = preset.pools;
-		const FleetState fleet = FoldSynthetic(size).fleet;
+		const FleetState fleet = FoldSyntheticLog(size).fleet;
 		PlannerInputs inputs;
 		for (const auto &[name, box] : fleet.boxes) {
 			inputs.list.push_back(
@@ -167,11 +167,11 @@
 		}
 		return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count() / TIMES;
 	}));
-	slopes.push_back(Measure("build a view", "us", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	fits.push_back(Measure("build a view", "us", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		size.boxes = n;
 		size.zones = 10;
-		const FleetState fleet = FoldSynthetic(size).fleet;
+		const FleetState fleet = FoldSyntheticLog(size).fleet;
 		constexpr int TIMES = 20;
 		const auto begin = std::chrono::steady_clock::now();
 		for (int i = 0; i < TIMES; i++) {
@@ -182,32 +182,32 @@
 }
 
 /** Slopes of messages. */
-void MeasureMessages(std::vector<Slope> &slopes)
+void MeasureMessages(std::vector<LinearFit> &fits)
 {
-	slopes.push_back(Measure("whole view", "B", "boxes of the zone", {12, 30, 60, 120}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	fits.push_back(Measure("whole view", "B", "boxes of the zone", {12, 30, 60, 120}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		size.boxes = n;
 		size.zones = 1;
-		return FrameBytes(BuildView(FoldSynthetic(size).fleet, ZoneName("zone-0"), {}));
+		return FrameBytes(BuildView(FoldSyntheticLog(size).fleet, ZoneName("zone-0"), {}));
 	}));
-	slopes.push_back(Measure("whole view", "B", "pools", {5, 10, 20, 43}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	fits.push_back(Measure("whole view", "B", "pools", {5, 10, 20, 43}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		size.pools = n;
-		return FrameBytes(BuildView(FoldSynthetic(size).fleet, ZoneName("zone-0"), {}));
+		return FrameBytes(BuildView(FoldSyntheticLog(size).fleet, ZoneName("zone-0"), {}));
 	}));
-	slopes.push_back(Measure("snapshot", "B", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
-		SyntheticSize size = Small();
+	fits.push_back(Measure("snapshot", "B", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
+		SyntheticSize size = SmallSize();
 		size.boxes = n;
-		return static_cast<double>(PackSnapshot(FoldSynthetic(size).fleet).size());
+		return static_cast<double>(PackSnapshot(FoldSyntheticLog(size).fleet).size());
 	}));
-	slopes.push_back(Measure("publication of cells", "B", "cells", {1, 4, 16, 64}, [&](uint32_t n) {
+	fits.push_back(Measure("publication of cells", "B", "cells", {1, 4, 16, 64}, [&](uint32_t n) {
 		BatchT batch;
 		batch.writer = "keeper-zone-a-1";
 		batch.region = "region-1";
 		glade::wire::TablePublishT table;
 		for (uint32_t i = 0; i < n; i++) {
 			auto cell = std::make_unique<glade::wire::TableCellT>();
-			cell->service = ServiceOf(i);
+			cell->service = ServiceNameOf(i);
 			cell->column = "floor";
 			cell->value = "120";
 			table.cells.push_back(std::move(cell));
@@ -215,7 +215,7 @@
 		batch.proposals.push_back(MakeProposal(std::move(table)));
 		return static_cast<double>(EncodeBatch(batch).size());
 	}));
-	slopes.push_back(Measure("record of box steps", "B", "steps", {1, 4, 16, 64}, [&](uint32_t n) {
+	fits.push_back(Measure("record of box steps", "B", "steps", {1, 4, 16, 64}, [&](uint32_t n) {
 		BatchT batch;
 		batch.writer = "keeper-zone-a-1";
 		batch.region = "region-1";
@@ -227,7 +227,7 @@
 		}
 		return static_cast<double>(EncodeBatch(batch).size());
 	}));
-	slopes.push_back(Measure("keeper beat", "B", "entries of the zone", {1, 3, 6, 9}, [&](uint32_t n) {
+	fits.push_back(Measure("keeper beat", "B", "entries of the zone", {1, 3, 6, 9}, [&](uint32_t n) {
 		glade::wire::KeeperBeatT beat;
 		beat.member = "keeper-zone-a-1";
 		for (uint32_t i = 0; i < n; i++) {
@@ -235,7 +235,7 @@
 		}
 		return FrameBytes(std::move(beat));
 	}));
-	slopes.push_back(Measure("hello of an entry", "B", "boxes draining", {0, 2, 4, 8}, [&](uint32_t n) {
+	fits.push_back(Measure("hello of an entry", "B", "boxes draining", {0, 2, 4, 8}, [&](uint32_t n) {
 		glade::wire::EntryHelloT hello;
 		hello.member = "entry-zone-a-1";
 		hello.zone = "zone-a";
@@ -254,21 +254,21 @@
 
 int RunCapacityBench(const BenchOptions &options)
 {
-	std::vector<Slope> slopes;
-	MeasureState(slopes);
-	MeasureTime(slopes);
-	MeasureMessages(slopes);
-	for (const Slope &it : slopes) {
+	std::vector<LinearFit> fits;
+	MeasureState(fits);
+	MeasureTime(fits);
+	MeasureMessages(fits);
+	for (const LinearFit &it : fits) {
 		PrintFigure({"capacity", it.count, it.name + ".base", it.base, it.unit, "", 0, options.seed});
 		PrintFigure({"capacity", it.count, it.name + ".slope", it.per_count, it.unit + " each", "", 0, options.seed});
 		PrintFigure({"capacity", it.count, it.name + ".residual", it.residual, "share", "", 0, options.seed});
 	}
-	const CapacityTable table = ComputeCapacity(slopes);
+	const CapacityTable table = ComputeCapacity(fits);
 	for (const CapacityRow &it : table.rows) {
 		PrintFigure({"capacity", it.role, it.what, it.value, it.unit, it.limit == 0 ? "" : "limit",
 					 it.limit == 0 ? 0 : it.value / it.limit, options.seed});
 	}
-	if (!options.page.empty() && !WriteCapacityPage(options.page, slopes, table)) {
+	if (!options.page.empty() && !WriteCapacityPage(options.page, fits, table)) {
 		return 1;
 	}
 	return 0;
--- a/src/bench/capacity_page.cpp
+++ b/src/bench/capacity_page.cpp
@@ -11,66 +11,66 @@
 namespace {
 
 /* Letter 1's size. */
-constexpr double BOXES = 1200;           ///< Boxes.
-constexpr double POOLS = 43;             ///< Pools.
-constexpr double TEAMS = 610;            ///< Teams.
-constexpr double ZONES = 10;             ///< Availability zones.
-constexpr double ENTRIES = 30;           ///< Entries, three a zone.
-constexpr double KEEPERS = 30;           ///< Keepers, one on each entry box.
-constexpr double PER_ZONE = 3;           ///< Entries, and keepers, of a zone.
-constexpr double JOBS = 6000;            ///< Jobs a day, remembered for a day after their end.
-constexpr double CHANGES_A_DAY = 1700;   ///< Publications a day.
-constexpr double STEPS_A_BOX = 6;        ///< Records' proposals of one maintenance.
-constexpr double DAYS_A_CYCLE = 21;      ///< Every box once in this time.
-constexpr double HEALTH_A_DAY = 2 * 124; ///< Changes of health: 14 failures and 110 restarts, down and up.
-constexpr double RECORDS_A_JOB = 3;      ///< Accept, place, report.
-constexpr double DAY = 86400;            ///< Seconds in a day.
-constexpr double HELLOS_A_SECOND = 2;    ///< Hellos, leases and beats a second.
-constexpr double LEASE_BYTES = 60;       ///< Bytes of a lease frame.
-constexpr double PLANS_A_SECOND = 2;     ///< Planning steps a second.
-constexpr double BASE64 = 4.0 / 3.0;     ///< Growth of a record on its way through the platform's HTTP interface.
-constexpr double RECORD_ENVELOPE = 90;   ///< Bytes around a record in a read answer, and of polls, per record.
-constexpr double POLL_BYTES = 300;       ///< Bytes of a read without records, request and answer with headers.
-constexpr double SLOT_MESSAGES =
+constexpr double BOXES = 1200;                     ///< Boxes.
+constexpr double POOLS = 43;                       ///< Pools.
+constexpr double TEAMS = 610;                      ///< Teams.
+constexpr double ZONES = 10;                       ///< Availability zones.
+constexpr double ENTRIES = 30;                     ///< Entries, three a zone.
+constexpr double KEEPERS = 30;                     ///< Keepers, one on each entry box.
+constexpr double ENTRIES_PER_ZONE = 3;             ///< Entries, and keepers, of a zone.
+constexpr double JOBS_PER_DAY = 6000;              ///< Jobs a day, remembered for a day after their end.
+constexpr double PUBLICATIONS_PER_DAY = 1700;      ///< Publications a day.
+constexpr double PROPOSALS_PER_MAINTENANCE = 6;    ///< Records' proposals of one maintenance.
+constexpr double MAINTENANCE_CYCLE_DAYS = 21;      ///< Every box once in this time.
+constexpr double HEALTH_CHANGES_PER_DAY = 2 * 124; ///< Changes of health: 14 failures and 110 restarts, down and up.
+constexpr double RECORDS_PER_JOB = 3;              ///< Accept, place, report.
+constexpr double SECONDS_PER_DAY = 86400;          ///< Seconds in a day.
+constexpr double HELLOS_PER_SECOND = 2;            ///< Hellos, leases and beats a second.
+constexpr double LEASE_BYTES = 60;                 ///< Bytes of a lease frame.
+constexpr double PLANNING_STEPS_PER_SECOND = 2;    ///< Planning steps a second.
+constexpr double BASE64_GROWTH = 4.0 / 3.0;  ///< Growth of a record on its way through the platform's HTTP interface.
+constexpr double RECORD_ENVELOPE_BYTES = 90; ///< Bytes around a record in a read answer, and of polls, per record.
+constexpr double POLL_BYTES = 300;           ///< Bytes of a read without records, request and answer with headers.
+constexpr double SLOT_MESSAGES_PER_SECOND =
 		64; ///< Messages of lending a second and entry under overload (glade_bench slots, 3 entries).
-constexpr double SLOT_BYTES = 90;      ///< Bytes of such a message.
-constexpr double CPU_LIMIT = 3.9;      ///< Percent of a core.
-constexpr double MEMORY_LIMIT = 256e6; ///< Bytes.
-constexpr double BYTES_LIMIT = 9000;   ///< Bytes a second.
-constexpr double APPENDS_LIMIT = 100;  ///< Appends a second.
-constexpr double PROCESS_BYTES = 22e6; ///< Resident memory of an idle entry or keeper (scripts/process_check.sh).
-constexpr double LIST_BOX_BYTES = 135; ///< Bytes of a box in the platform's list.
+constexpr double SLOT_MESSAGE_BYTES = 90;               ///< Bytes of such a message.
+constexpr double CPU_LIMIT_PERCENT = 3.9;               ///< Percent of a core.
+constexpr double MEMORY_LIMIT_BYTES = 256e6;            ///< Bytes.
+constexpr double CONTROL_BYTES_PER_SECOND_LIMIT = 9000; ///< Bytes a second.
+constexpr double APPENDS_PER_SECOND_LIMIT = 100;        ///< Appends a second.
+constexpr double PROCESS_BYTES = 22e6;   ///< Resident memory of an idle entry or keeper (scripts/process_check.sh).
+constexpr double LISTED_BOX_BYTES = 135; ///< Bytes of a box in the platform's list.
 
-constexpr const char *MARK_BEGIN = "<!-- tables: begin -->"; ///< Line before the tables.
-constexpr const char *MARK_END = "<!-- tables: end -->";     ///< Line behind them.
+constexpr const char *TABLES_BEGIN_MARKER = "<!-- tables: begin -->"; ///< Line before the tables.
+constexpr const char *TABLES_END_MARKER = "<!-- tables: end -->";     ///< Line behind them.
 
 /** Looks slopes up by name. */
-class SlopeBook {
+class FitLookup {
 public:
-	explicit SlopeBook(const std::vector<Slope> &slopes) : slopes(slopes) {}
+	explicit FitLookup(const std::vector<LinearFit> &fits) : fits(fits) {}
 
-	[[nodiscard]] double Each(const std::string &name, const std::string &count) const
+	[[nodiscard]] double SlopeOf(const std::string &name, const std::string &count) const
 	{
 		return this->Find(name, count).per_count;
 	}
 
-	[[nodiscard]] double At(const std::string &name, const std::string &count, double n) const
+	[[nodiscard]] double ValueAt(const std::string &name, const std::string &count, double n) const
 	{
-		const Slope &it = this->Find(name, count);
+		const LinearFit &it = this->Find(name, count);
 		return it.base + it.per_count * n;
 	}
 
 private:
-	const std::vector<Slope> &slopes; ///< All slopes.
+	const std::vector<LinearFit> &fits; ///< All slopes.
 
-	[[nodiscard]] const Slope &Find(const std::string &name, const std::string &count) const
+	[[nodiscard]] const LinearFit &Find(const std::string &name, const std::string &count) const
 	{
-		return *std::ranges::find_if(this->slopes,
-									 [&](const Slope &it) { return it.name == name && it.count == count; });
+		return *std::ranges::find_if(this->fits,
+									 [&](const LinearFit &it) { return it.name == name && it.count == count; });
 	}
 };
 
-std::string Number(double value)
+std::string FormatNumber(double value)
 {
 	std::ostringstream out;
 	if (value != 0 && std::abs(value) < 10) {
@@ -81,96 +81,114 @@
 	return out.str();
 }
 
-std::string TablesText(const std::vector<Slope> &slopes, const CapacityTable &table)
+std::string TablesText(const std::vector<LinearFit> &fits, const CapacityTable &table)
 {
 	std::string text = "\n## Computed at letter 1's size\n\n| role | what | value | unit | limit | used | mechanism "
 					   "that carries it |\n"
 					   "|---|---|---|---|---|---|---|\n";
 	for (const CapacityRow &it : table.rows) {
-		const std::string used = it.limit == 0 ? "" : Number(it.value * 100 / it.limit) + "%";
-		text += "| " + it.role + " | " + it.what + " | " + Number(it.value) + " | " + it.unit + " | " +
-				(it.limit == 0 ? "" : Number(it.limit)) + " | " + used + " | " + it.mechanism + " |\n";
+		const std::string used = it.limit == 0 ? "" : FormatNumber(it.value * 100 / it.limit) + "%";
+		text += "| " + it.role + " | " + it.what + " | " + FormatNumber(it.value) + " | " + it.unit + " | " +
+				(it.limit == 0 ? "" : FormatNumber(it.limit)) + " | " + used + " | " + it.mechanism + " |\n";
 	}
 	text += "\n## Slopes\n\nCommand: `glade_bench capacity --seed 1 --page docs/CAPACITY.md`; least squares over the "
 			"points.\n\n"
 			"| what | against | base | each | unit | points | residual |\n|---|---|---|---|---|---|---|\n";
-	for (const Slope &it : slopes) {
-		text += "| " + it.name + " | " + it.count + " | " + Number(it.base) + " | " + Number(it.per_count) + " | " +
-				it.unit + " | " + std::to_string(it.points) + " | " + Number(it.residual * 100) + "% |\n";
+	for (const LinearFit &it : fits) {
+		text += "| " + it.name + " | " + it.count + " | " + FormatNumber(it.base) + " | " + FormatNumber(it.per_count) +
+				" | " + it.unit + " | " + std::to_string(it.points) + " | " + FormatNumber(it.residual * 100) + "% |\n";
 	}
 	return text + "\n";
 }
 
 } // namespace
 
-CapacityTable ComputeCapacity(const std::vector<Slope> &slopes)
+CapacityTable ComputeCapacity(const std::vector<LinearFit> &fits)
 {
-	const SlopeBook book(slopes);
+	const FitLookup lookup(fits);
 	CapacityTable table;
 	const auto add = [&](const char *role, const char *what, double value, const char *unit, double limit,
 						 const char *mechanism) {
 		table.rows.push_back(CapacityRow{role, what, value, unit, limit, mechanism});
 	};
-	const double changes = (CHANGES_A_DAY + BOXES * STEPS_A_BOX / DAYS_A_CYCLE + HEALTH_A_DAY) / DAY;
-	const double job_records = JOBS * RECORDS_A_JOB / DAY;
-	const double log_bytes = CHANGES_A_DAY / DAY * book.At("publication of cells", "cells", 1) +
-							 (BOXES * STEPS_A_BOX / DAYS_A_CYCLE + HEALTH_A_DAY + JOBS * RECORDS_A_JOB) / DAY *
-									 book.At("record of box steps", "steps", 1);
-	const double state = book.At("state", "boxes", BOXES) + book.Each("state", "pools") * POOLS +
-						 book.Each("state", "teams") * TEAMS + book.Each("state", "entries") * ENTRIES +
-						 book.Each("state", "jobs") * 2 * JOBS;
-	const double view =
-			book.At("whole view", "boxes of the zone", BOXES / ZONES) + book.Each("whole view", "pools") * POOLS;
-	const double delta = 300;
+	const double changes_per_second =
+			(PUBLICATIONS_PER_DAY + BOXES * PROPOSALS_PER_MAINTENANCE / MAINTENANCE_CYCLE_DAYS +
+			 HEALTH_CHANGES_PER_DAY) /
+			SECONDS_PER_DAY;
+	const double job_records_per_second = JOBS_PER_DAY * RECORDS_PER_JOB / SECONDS_PER_DAY;
+	const double log_bytes_per_second =
+			PUBLICATIONS_PER_DAY / SECONDS_PER_DAY * lookup.ValueAt("publication of cells", "cells", 1) +
+			(BOXES * PROPOSALS_PER_MAINTENANCE / MAINTENANCE_CYCLE_DAYS + HEALTH_CHANGES_PER_DAY +
+			 JOBS_PER_DAY * RECORDS_PER_JOB) /
+					SECONDS_PER_DAY * lookup.ValueAt("record of box steps", "steps", 1);
+	const double state_bytes = lookup.ValueAt("state", "boxes", BOXES) + lookup.SlopeOf("state", "pools") * POOLS +
+							   lookup.SlopeOf("state", "teams") * TEAMS + lookup.SlopeOf("state", "entries") * ENTRIES +
+							   lookup.SlopeOf("state", "jobs") * 2 * JOBS_PER_DAY;
+	const double view_bytes = lookup.ValueAt("whole view", "boxes of the zone", BOXES / ZONES) +
+							  lookup.SlopeOf("whole view", "pools") * POOLS;
+	const double view_delta_bytes = 300;
 
-	add("entry", "state: its view", view, "B", MEMORY_LIMIT, "view of its own zone only; deltas with a hash");
-	add("entry", "memory", PROCESS_BYTES + view * 10, "B", MEMORY_LIMIT, "bounded queues, keys and buffers");
-	const double entry_bytes =
-			HELLOS_A_SECOND * (book.At("hello of an entry", "boxes draining", 1) + LEASE_BYTES) + changes * delta;
-	add("entry", "control messages", 2 * HELLOS_A_SECOND + changes, "1/s", 0,
+	add("entry", "state: its view", view_bytes, "B", MEMORY_LIMIT_BYTES,
+		"view of its own zone only; deltas with a hash");
+	add("entry", "memory", PROCESS_BYTES + view_bytes * 10, "B", MEMORY_LIMIT_BYTES,
+		"bounded queues, keys and buffers");
+	const double entry_bytes_per_second =
+			HELLOS_PER_SECOND * (lookup.ValueAt("hello of an entry", "boxes draining", 1) + LEASE_BYTES) +
+			changes_per_second * view_delta_bytes;
+	add("entry", "control messages", 2 * HELLOS_PER_SECOND + changes_per_second, "1/s", 0,
 		"one keeper connection; passive health sends nothing");
-	add("entry", "control bytes, quiet", entry_bytes, "B/s", BYTES_LIMIT, "deltas; leases on the hello");
-	add("entry", "control bytes, overload", entry_bytes + SLOT_MESSAGES * SLOT_BYTES, "B/s", BYTES_LIMIT,
-		"lending backs off while nobody lends");
-	add("keeper", "state: the fold", state, "B", MEMORY_LIMIT,
+	add("entry", "control bytes, quiet", entry_bytes_per_second, "B/s", CONTROL_BYTES_PER_SECOND_LIMIT,
+		"deltas; leases on the hello");
+	add("entry", "control bytes, overload", entry_bytes_per_second + SLOT_MESSAGES_PER_SECOND * SLOT_MESSAGE_BYTES,
+		"B/s", CONTROL_BYTES_PER_SECOND_LIMIT, "lending backs off while nobody lends");
+	add("keeper", "state: the fold", state_bytes, "B", MEMORY_LIMIT_BYTES,
 		"finished jobs forgotten after a day, silent writers after two weeks");
-	add("keeper", "memory", PROCESS_BYTES + 2 * state, "B", MEMORY_LIMIT, "one state and, while packing, one snapshot");
-	const double keeper_in = log_bytes * BASE64 + (changes + job_records) * RECORD_ENVELOPE + POLL_BYTES;
+	add("keeper", "memory", PROCESS_BYTES + 2 * state_bytes, "B", MEMORY_LIMIT_BYTES,
+		"one state and, while packing, one snapshot");
+	const double log_read_bytes_per_second = log_bytes_per_second * BASE64_GROWTH +
+											 (changes_per_second + job_records_per_second) * RECORD_ENVELOPE_BYTES +
+											 POLL_BYTES;
 	/* The list goes over the wire whole when it has changed: reboots and changes of health, each down and up. */
-	const double list_bytes = BOXES * LIST_BOX_BYTES * (2 * BOXES / DAYS_A_CYCLE + HEALTH_A_DAY) / DAY;
-	const double beats = HELLOS_A_SECOND * 2 * (PER_ZONE - 1) * book.At("keeper beat", "entries of the zone", PER_ZONE);
-	add("keeper", "control bytes", keeper_in + beats + entry_bytes + list_bytes, "B/s", BYTES_LIMIT,
-		"long poll; list of boxes by version; beats within the zone; one entry each");
-	const double fold_cpu = (changes + job_records) *
-							(book.At("fold a record", "boxes", BOXES) + book.At("build a view", "boxes", BOXES)) / 1e4;
-	add("keeper", "processor, following", fold_cpu, "% of a core", CPU_LIMIT,
+	const double list_bytes_per_second =
+			BOXES * LISTED_BOX_BYTES * (2 * BOXES / MAINTENANCE_CYCLE_DAYS + HEALTH_CHANGES_PER_DAY) / SECONDS_PER_DAY;
+	const double beat_bytes_per_second = HELLOS_PER_SECOND * 2 * (ENTRIES_PER_ZONE - 1) *
+										 lookup.ValueAt("keeper beat", "entries of the zone", ENTRIES_PER_ZONE);
+	add("keeper", "control bytes",
+		log_read_bytes_per_second + beat_bytes_per_second + entry_bytes_per_second + list_bytes_per_second, "B/s",
+		CONTROL_BYTES_PER_SECOND_LIMIT, "long poll; list of boxes by version; beats within the zone; one entry each");
+	const double fold_cpu_percent =
+			(changes_per_second + job_records_per_second) *
+			(lookup.ValueAt("fold a record", "boxes", BOXES) + lookup.ValueAt("build a view", "boxes", BOXES)) / 1e4;
+	add("keeper", "processor, following", fold_cpu_percent, "% of a core", CPU_LIMIT_PERCENT,
 		"hash kept as a sum: a record costs what it touches");
-	const double plan_cpu = PLANS_A_SECOND * book.At("planning step", "boxes", BOXES) / 1e4;
-	add("planning keeper", "processor, planning", fold_cpu + plan_cpu, "% of a core", CPU_LIMIT,
-		"one planner a region, by a term; pools pictured once a step");
-	add("platform's log", "appends", 1.5 + changes + job_records, "1/s", APPENDS_LIMIT,
+	const double planning_cpu_percent =
+			PLANNING_STEPS_PER_SECOND * lookup.ValueAt("planning step", "boxes", BOXES) / 1e4;
+	add("planning keeper", "processor, planning", fold_cpu_percent + planning_cpu_percent, "% of a core",
+		CPU_LIMIT_PERCENT, "one planner a region, by a term; pools pictured once a step");
+	add("platform's log", "appends", 1.5 + changes_per_second + job_records_per_second, "1/s", APPENDS_PER_SECOND_LIMIT,
 		"group commit: one append a tick and writer; planner's beat 0.5/s a region");
-	add("platform's log", "bytes", log_bytes, "B/s", 0, "binary records; cells, not tables");
+	add("platform's log", "bytes", log_bytes_per_second, "B/s", 0, "binary records; cells, not tables");
 	add("platform's log", "readers", KEEPERS, "keepers", 0, "entries never read the log");
-	add("platform's log", "snapshot", book.At("snapshot", "boxes", BOXES) + book.Each("state", "jobs") * 2 * JOBS, "B",
-		0, "chunks of 48 KB in the bulk priority");
+	add("platform's log", "snapshot",
+		lookup.ValueAt("snapshot", "boxes", BOXES) + lookup.SlopeOf("state", "jobs") * 2 * JOBS_PER_DAY, "B", 0,
+		"chunks of 48 KB in the bulk priority");
 	return table;
 }
 
-bool WriteCapacityPage(const std::string &file, const std::vector<Slope> &slopes, const CapacityTable &table)
+bool WriteCapacityPage(const std::string &file, const std::vector<LinearFit> &fits, const CapacityTable &table)
 {
 	std::ifstream in(file);
 	std::ostringstream out;
 	out << in.rdbuf();
 	std::string page = out.str();
-	const size_t begin = page.find(MARK_BEGIN);
-	const size_t end = page.find(MARK_END);
+	const size_t begin = page.find(TABLES_BEGIN_MARKER);
+	const size_t end = page.find(TABLES_END_MARKER);
 	if (begin == std::string::npos || end == std::string::npos || end < begin) {
-		std::cerr << file << ": expected the lines '" << MARK_BEGIN << "' and '" << MARK_END << "'\n";
+		std::cerr << file << ": expected the lines '" << TABLES_BEGIN_MARKER << "' and '" << TABLES_END_MARKER << "'\n";
 		return false;
 	}
-	const size_t from = begin + std::string(MARK_BEGIN).size();
-	page.replace(from, end - from, "\n" + TablesText(slopes, table));
+	const size_t from = begin + std::string(TABLES_BEGIN_MARKER).size();
+	page.replace(from, end - from, "\n" + TablesText(fits, table));
 	std::ofstream(file) << page;
 	return true;
 }
--- a/src/bench/capacity_page.h
+++ b/src/bench/capacity_page.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 /** A measured line: value = base + per_count x count. */
-struct Slope {
+struct LinearFit {
 	std::string name;     ///< What was measured.
 	std::string unit;     ///< Its unit.
 	std::string count;    ///< What was counted.
@@ -36,7 +36,7 @@
  * @param slopes Measured slopes.
  * @return The figures.
  */
-CapacityTable ComputeCapacity(const std::vector<Slope> &slopes);
+CapacityTable ComputeCapacity(const std::vector<LinearFit> &fits);
 
 /**
  * Writes the tables into a page, between its two marker lines.
@@ -45,6 +45,6 @@
  * @param table Computed figures.
  * @return Whether the page could be written.
  */
-bool WriteCapacityPage(const std::string &file, const std::vector<Slope> &slopes, const CapacityTable &table);
+bool WriteCapacityPage(const std::string &file, const std::vector<LinearFit> &fits, const CapacityTable &table);
 
 #endif /* CAPACITY_PAGE_H */
--- a/src/bench/config_bench.cpp
+++ b/src/bench/config_bench.cpp
@@ -1,6 +1,6 @@
 /** @file config_bench.cpp Publish to in force at every entry, on the virtual clock, with and without faults. */
 #include "bench_output.h"
-#include "fleet_world.h"
+#include "simulated_fleet.h"
 
 #include "../standin/memory/fleet_site.h"
 
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr Millis LOG_DELAY(20);   ///< Time of an append or read on a good day.
-constexpr Millis BETWEEN(1000);   ///< Time between two publications.
-constexpr Millis LONGEST(120000); ///< Time after which a publication counts as never in force.
-constexpr size_t TOKENS = 7;      ///< Values that a cell goes through.
+constexpr Millis LOG_DELAY(20);              ///< Time of an append or read on a good day.
+constexpr Millis PUBLICATION_INTERVAL(1000); ///< Time between two publications.
+constexpr Millis IN_FORCE_TIMEOUT(120000);   ///< Time after which a publication counts as never in force.
+constexpr size_t CELL_VALUES = 7;            ///< Values that a cell goes through.
 
 /** What goes wrong. */
 enum class ConfigFault : uint8_t {
-	CF_GOOD_DAY,     ///< Nothing.
+	CF_NONE,         ///< Nothing.
 	CF_LOG_SLOW,     ///< Answers of the log take half a second.
 	CF_ZONE_CUT,     ///< A zone is cut off from the log half of the time.
 	CF_ANSWERS_LOST, ///< Every answer to an append of a publisher is lost.
@@ -23,11 +23,11 @@
 
 /** What a run showed. */
 struct ConfigResult {
-	std::vector<double> all; ///< Time to in force at the last entry that is not cut off, ms.
-	double appends = 0;      ///< Appends a second, all keepers.
-	double bytes = 0;        ///< Bytes a second appended.
-	size_t never = 0;        ///< Publications never in force or refused.
-	size_t violations = 0;   ///< What should always hold and did not.
+	std::vector<double> in_force_ms; ///< Time to in force at the last entry that is not cut off, ms.
+	double appends = 0;              ///< Appends a second, all keepers.
+	double bytes = 0;                ///< Bytes a second appended.
+	size_t never_in_force = 0;       ///< Publications never in force or refused.
+	size_t violations = 0;           ///< What should always hold and did not.
 };
 
 double QuantileOf(std::vector<double> values, double share)
@@ -57,11 +57,11 @@
 			it->log.faults.lose_answers = fault == ConfigFault::CF_ANSWERS_LOST ? 1 : 0;
 		}
 		KeeperNode &keeper = site.AnyKeeper();
-		const Millis asked = site.clock.Now();
+		const Millis published_at = site.clock.Now();
 		const auto outcome =
-				keeper.Publish({{CellKey{ServiceName("misting"), "weight"}, std::to_string(1 + i % TOKENS)}},
+				keeper.Publish({{CellKey{ServiceName("misting"), "weight"}, std::to_string(1 + i % CELL_VALUES)}},
 							   keeper.core.State().table_version.Value());
-		const bool decided = site.RunUntil([&] { return outcome->code == 0; }, LONGEST);
+		const bool decided = site.RunUntil([&] { return outcome->code == 0; }, IN_FORCE_TIMEOUT);
 		const LogOffset offset(outcome->offset);
 		const bool in_force = decided && site.RunUntil(
 												 [&] {
@@ -71,13 +71,13 @@
 														 return cut || it->routes.Offset() >= offset;
 													 });
 												 },
-												 LONGEST);
+												 IN_FORCE_TIMEOUT);
 		if (in_force) {
-			result.all.push_back(static_cast<double>((site.clock.Now() - asked).Value()));
+			result.in_force_ms.push_back(static_cast<double>((site.clock.Now() - published_at).Value()));
 		} else {
-			result.never++;
+			result.never_in_force++;
 		}
-		site.Run(BETWEEN);
+		site.Run(PUBLICATION_INTERVAL);
 	}
 	const double seconds = static_cast<double>((site.clock.Now() - begin).Value()) / MS_PER_SECOND;
 	result.appends = static_cast<double>(site.store.RecordsAppended() - appends) / seconds;
@@ -90,14 +90,14 @@
 
 int RunConfigBench(const BenchOptions &options)
 {
-	const FleetPreset preset = PresetOf(options.preset);
+	const FleetPreset preset = PresetByName(options.preset);
 	const size_t publications = options.quick ? 10 : 200;
 	int failed = 0;
 	struct Case {
 		ConfigFault fault; ///< What goes wrong.
 		const char *name;  ///< Its name.
 	};
-	static constexpr Case _cases[] = {{ConfigFault::CF_GOOD_DAY, "good_day"},
+	static constexpr Case _cases[] = {{ConfigFault::CF_NONE, "good_day"},
 									  {ConfigFault::CF_LOG_SLOW, "log_slow_500ms"},
 									  {ConfigFault::CF_ZONE_CUT, "zone_cut"},
 									  {ConfigFault::CF_ANSWERS_LOST, "answers_lost"}};
@@ -106,10 +106,10 @@
 		const auto print = [&](const char *figure, double value, const char *unit) {
 			PrintFigure({"config", it.name, figure, value, unit, "", 0, options.seed});
 		};
-		print("in_force_p50", QuantileOf(result.all, 0.5), "ms");
-		print("in_force_p99", QuantileOf(result.all, 0.99), "ms");
-		print("in_force_max", QuantileOf(result.all, 1.0), "ms");
-		print("never_in_force", static_cast<double>(result.never), "publications");
+		print("in_force_p50", QuantileOf(result.in_force_ms, 0.5), "ms");
+		print("in_force_p99", QuantileOf(result.in_force_ms, 0.99), "ms");
+		print("in_force_max", QuantileOf(result.in_force_ms, 1.0), "ms");
+		print("never_in_force", static_cast<double>(result.never_in_force), "publications");
 		print("appends", result.appends, "1/s");
 		print("append_bytes", result.bytes, "B/s");
 		failed += static_cast<int>(result.violations);
--- a/src/bench/holder_bench.cpp
+++ b/src/bench/fleet_owner_bench.cpp
@@ -1,4 +1,5 @@
-/** @file holder_bench.cpp One look of the fleet's holder: a wave over half of the boxes, and moves between pools. */
+/** @file fleet_owner_bench.cpp One look of the fleet's holder: a wave over half of the boxes, and moves between pools.
+ */
 #include "bench_output.h"
 
 #include "../upkeep/pool_balancer.h"
@@ -12,41 +13,41 @@
 
 constexpr std::array<size_t, 3> SIZES = {300, 1200, 5000}; ///< Boxes.
 constexpr size_t POOLS = 4;                                ///< Pools that run jobs.
-constexpr int LOOKS = 10;                                  ///< Looks measured.
-constexpr Millis LOOK_EVERY(200);                          ///< Time between them.
-constexpr Resources ROOM{16000, 65536, 0};                 ///< What a box has.
-constexpr int64_t WAITING = 4000000;                       ///< Thousandths of a core that the first pool waits for.
+constexpr int DECISIONS = 10;                              ///< Looks measured.
+constexpr Millis DECISION_INTERVAL(200);                   ///< Time between them.
+constexpr Resources BOX_CAPACITY{16000, 65536, 0};         ///< What a box has.
+constexpr int64_t WAITING_CPU = 4000000;                   ///< Thousandths of a core that the first pool waits for.
 
-ServiceName PoolOf(size_t n)
+ServiceName TestPoolName(size_t n)
 {
 	return ServiceName("pool" + std::to_string(n));
 }
 
 /** A fleet whose first pool waits for room; every second box of the others runs something. */
-FleetView ViewOf(size_t boxes)
+FleetView MakeView(size_t boxes)
 {
 	FleetView view;
 	for (size_t n = 0; n < boxes; n++) {
 		MachineRow row;
 		row.box = BoxName("machine-" + std::to_string(n * 7919 % boxes));
-		row.pool = PoolOf(n % POOLS);
+		row.pool = TestPoolName(n % POOLS);
 		row.state = MachineState::MS_UP;
-		row.capacity = ROOM;
+		row.capacity = BOX_CAPACITY;
 		row.id = BoxId("life-" + std::to_string(n));
 		PoolStatus &pool = view.pools[row.pool];
 		const bool busy = n % POOLS == 0 || n / POOLS % 2 == 0;
 		pool.boxes.push_back(PoolBox{row.box, BoxIncarnation{row.id, Millis(1)}, busy ? 5U : 0U,
-									 busy ? ROOM.cpu / 2 : 0, ROOM.cpu, true});
+									 busy ? BOX_CAPACITY.cpu / 2 : 0, BOX_CAPACITY.cpu, true});
 		view.machines.push_back(row);
 	}
-	view.pools[PoolOf(0)].waiting_cpu = WAITING;
+	view.pools[TestPoolName(0)].waiting_cpu = WAITING_CPU;
 	return view;
 }
 
 /** @return Time of a look in microseconds. */
-double MeasureLook(size_t boxes)
+double MeasureDecision(size_t boxes)
 {
-	const FleetView view = ViewOf(boxes);
+	const FleetView view = MakeView(boxes);
 	WavePlanner waves((WaveLimits()));
 	PoolBalancer pools((PoolLimits()));
 	WaveOrder order;
@@ -57,22 +58,23 @@
 		order.boxes.push_back(view.machines[n].box);
 	}
 	waves.Add(order, Millis(0));
-	const auto begun = Clock::now();
-	for (int n = 1; n <= LOOKS; n++) {
-		const Millis now(n * LOOK_EVERY.Value());
+	const auto begin = Clock::now();
+	for (int n = 1; n <= DECISIONS; n++) {
+		const Millis now(n * DECISION_INTERVAL.Value());
 		waves.SetExcluded(pools.Taken());
 		waves.Decide(view, now);
 		pools.Decide(view, waves.Taken(), now);
 	}
-	return std::chrono::duration<double, std::micro>(Clock::now() - begun).count() / LOOKS;
+	return std::chrono::duration<double, std::micro>(Clock::now() - begin).count() / DECISIONS;
 }
 
 } // namespace
 
-int RunHolderBench(const BenchOptions &options)
+int RunFleetOwnerBench(const BenchOptions &options)
 {
 	for (const size_t boxes : SIZES) {
-		PrintFigure({"fleet", std::to_string(boxes) + " boxes", "look", MeasureLook(boxes), "us", "", 0, options.seed});
+		PrintFigure(
+				{"fleet", std::to_string(boxes) + " boxes", "look", MeasureDecision(boxes), "us", "", 0, options.seed});
 	}
 	return 0;
 }
--- a/src/bench/fold_bench.cpp
+++ b/src/bench/fold_bench.cpp
@@ -17,8 +17,8 @@
 
 int RunFoldBench(const BenchOptions &options)
 {
-	const FleetPreset preset = PresetOf(options.preset);
-	const SyntheticSize size = SizeOf(preset);
+	const FleetPreset preset = PresetByName(options.preset);
+	const SyntheticSize size = SyntheticSizeOf(preset);
 	const std::vector<LogRecord> log = SyntheticLog(size, options.quick ? 2000 : 20000, options.seed);
 	FleetState fleet;
 	const auto begin = std::chrono::steady_clock::now();
@@ -31,9 +31,9 @@
 		}
 	}
 	const double fold_ms = MillisecondsSince(begin);
-	const auto slow_begin = std::chrono::steady_clock::now();
-	const bool same = fleet.RecomputeHash() == fleet.Hash();
-	const double slow_ms = MillisecondsSince(slow_begin);
+	const auto hash_begin = std::chrono::steady_clock::now();
+	const bool hash_matches = fleet.RecomputeHash() == fleet.Hash();
+	const double hash_ms = MillisecondsSince(hash_begin);
 	const auto pack_begin = std::chrono::steady_clock::now();
 	const std::string bytes = PackSnapshot(fleet);
 	const double pack_ms = MillisecondsSince(pack_begin);
@@ -46,10 +46,10 @@
 	print("records_a_second", static_cast<double>(log.size()) * MS_PER_SECOND / fold_ms, "1/s");
 	print("proposals_a_second", static_cast<double>(proposals) * MS_PER_SECOND / fold_ms, "1/s");
 	print("proposals_refused", static_cast<double>(refused), "proposals");
-	PrintFigure({"fold", preset.name, "hash_whole_state", slow_ms, "ms", "one_record",
-				 slow_ms / (fold_ms / static_cast<double>(log.size())), options.seed});
+	PrintFigure({"fold", preset.name, "hash_whole_state", hash_ms, "ms", "one_record",
+				 hash_ms / (fold_ms / static_cast<double>(log.size())), options.seed});
 	print("snapshot_bytes", static_cast<double>(bytes.size()), "B");
 	print("snapshot_pack", pack_ms, "ms");
 	print("join_from_snapshot", join_ms, "ms");
-	return same && joined ? 0 : 1;
+	return hash_matches && joined ? 0 : 1;
 }
--- a/src/bench/jobs_bench.cpp
+++ b/src/bench/jobs_bench.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-constexpr Millis PLAN_TICK(250);       ///< Time between two planning steps.
-constexpr Millis LOG_DELAY(20);        ///< Time of an append or read.
-constexpr Millis CHECKPOINT_TIME(300); ///< Time until a job asked to stop has stopped.
-constexpr Millis LIST_LAG(250);        ///< Time until an ended job is told of.
-constexpr size_t JOBS_A_STEP = 500;    ///< Placements in one planning step.
-constexpr size_t CANCEL_WAVE = 10000;  ///< Jobs cancelled at once.
-constexpr size_t CANCEL_BATCH = 500;   ///< Jobs in one cancellation record.
+constexpr Millis PLAN_TICK(250);            ///< Time between two planning steps.
+constexpr Millis LOG_DELAY(20);             ///< Time of an append or read.
+constexpr Millis CHECKPOINT_TIME(300);      ///< Time until a job asked to stop has stopped.
+constexpr Millis REPORT_DELAY(250);         ///< Time until an ended job is told of.
+constexpr size_t PLACEMENTS_PER_STEP = 500; ///< Placements in one planning step.
+constexpr size_t CANCEL_WAVE_JOBS = 10000;  ///< Jobs cancelled at once.
+constexpr size_t CANCEL_BATCH_JOBS = 500;   ///< Jobs in one cancellation record.
 
 /** Value at a share of a sorted list. */
 double QuantileOf(std::vector<double> values, double share)
@@ -34,10 +34,10 @@
 }
 
 /** A planner over a log, with boxes that run jobs. */
-class JobsRun {
+class JobsSimulation {
 public:
-	JobsRun(const FleetPreset &preset, uint64_t seed)
-			: preset(preset), dice(seed), clock(Millis(1700000000000)), store(LogLimits{}),
+	JobsSimulation(const FleetPreset &preset, uint64_t seed)
+			: preset(preset), rng(seed), clock(Millis(1700000000000)), store(LogLimits{}),
 			  log(this->clock, this->store),
 			  tail(this->clock, this->log, [this](const std::vector<Decision> &it) { this->OnRecord(it); }),
 			  writer(this->clock, this->log, "keeper", Incarnation(1))
@@ -53,7 +53,7 @@
 		this->SetUp();
 		this->clock.RunUntil(Millis(20000));
 		this->PlanTick();
-		this->Flood(quick ? 2000 : 20000);
+		this->SubmitBatchJobs(quick ? 2000 : 20000);
 		this->clock.RunUntil(this->clock.Now() + Millis(30000));
 		this->MeasureFairness();
 		this->SubmitUrgent(quick ? Millis(5000) : Millis(60000));
@@ -61,26 +61,26 @@
 		this->CancelWave();
 	}
 
-	std::vector<double> starts;   ///< Time from submitting an urgent job to its start, ms.
-	size_t urgent = 0;            ///< Urgent jobs submitted.
-	double accepted_a_second = 0; ///< Jobs accepted a second while the flood lasted.
-	double unfairness = 0;        ///< Largest difference of teams' shares of their quotas, teams with work waiting.
-	double cancel_ms = 0;         ///< Time until a wave of cancellations was in force.
-	uint64_t cancel_appends = 0;  ///< Appends that it took.
-	size_t preempted = 0;         ///< Jobs stopped at a checkpoint for urgent ones.
+	std::vector<double> start_delays_ms; ///< Time from submitting an urgent job to its start, ms.
+	size_t urgent_submitted = 0;         ///< Urgent jobs submitted.
+	double accepted_per_second = 0;      ///< Jobs accepted a second while the flood lasted.
+	double unfairness = 0;       ///< Largest difference of teams' shares of their quotas, teams with work waiting.
+	double cancel_ms = 0;        ///< Time until a wave of cancellations was in force.
+	uint64_t cancel_appends = 0; ///< Appends that it took.
+	size_t preempted = 0;        ///< Jobs stopped at a checkpoint for urgent ones.
 
 	[[nodiscard]] const LogStore &Store() const { return this->store; }
 
 private:
 	FleetPreset preset;                             ///< Sizes.
-	Dice dice;                                      ///< Random numbers.
+	RandomSource rng;                               ///< Random numbers.
 	VirtualScheduler clock;                         ///< The clock.
 	LogStore store;                                 ///< The log.
 	MemoryLog log;                                  ///< The way to it.
 	LogTail tail;                                   ///< The state.
 	LogWriter writer;                               ///< Appends.
 	PlannerPolicy policy;                           ///< Weights.
-	size_t undecided = 0;                           ///< Planned proposals not decided.
+	size_t undecided_proposals = 0;                 ///< Planned proposals not decided.
 	std::map<JobName, Millis> submitted;            ///< Urgent jobs waiting for their start.
 	std::set<JobName> stopping;                     ///< Jobs asked to stop.
 	std::set<std::pair<JobName, uint32_t>> running; ///< Attempts whose end is planned.
@@ -97,8 +97,8 @@
 		term.member = "keeper";
 		this->Submit(MakeProposal(std::move(term)), WritePriority::WP_CONFIG,
 					 [this](const Decision &) { this->writer.SetTerm(RegionName("main"), Term(1)); });
-		FleetWorld world(this->preset, 1);
-		const TableEdit edit = world.FirstTable();
+		SimulatedFleet world(this->preset, 1);
+		const TableEdit edit = world.InitialTable();
 		glade::wire::TablePublishT table;
 		for (const CellEdit &it : edit.cells) {
 			auto cell = std::make_unique<glade::wire::TableCellT>();
@@ -120,7 +120,7 @@
 
 	void ListBoxes()
 	{
-		for (Proposal &it : PlanList(this->tail.State(), FleetWorld(this->preset, 1).List())) {
+		for (Proposal &it : PlanList(this->tail.State(), SimulatedFleet(this->preset, 1).List())) {
 			this->Submit(std::move(it), WritePriority::WP_BOX);
 		}
 	}
@@ -129,7 +129,7 @@
 	{
 		glade::wire::JobAcceptT job;
 		job.job = name;
-		job.team = "team-" + std::to_string(this->dice.Below(this->preset.teams));
+		job.team = "team-" + std::to_string(this->rng.UniformBelow(this->preset.teams));
 		job.work_class = static_cast<uint8_t>(work_class);
 		job.units = 1;
 		job.repeatable = true;
@@ -138,7 +138,7 @@
 					 std::move(done));
 	}
 
-	void Flood(size_t jobs)
+	void SubmitBatchJobs(size_t jobs)
 	{
 		const Millis begin = this->clock.Now();
 		const auto left = std::make_shared<size_t>(jobs);
@@ -147,7 +147,7 @@
 							[this, left, begin, jobs](const Decision &) {
 								if (--*left == 0) {
 									const double took = static_cast<double>((this->clock.Now() - begin).Value());
-									this->accepted_a_second = static_cast<double>(jobs) * MS_PER_SECOND / took;
+									this->accepted_per_second = static_cast<double>(jobs) * MS_PER_SECOND / took;
 								}
 							});
 		}
@@ -157,20 +157,21 @@
 	{
 		const Millis end = this->clock.Now() + span;
 		while (this->clock.Now() < end) {
-			const std::string name = "urgent-" + std::to_string(this->urgent++);
+			const std::string name = "urgent-" + std::to_string(this->urgent_submitted++);
 			this->submitted[JobName(name)] = this->clock.Now();
 			this->SubmitJob(name, WorkClass::WC_URGENT, {});
-			this->clock.RunUntil(this->clock.Now() + Millis(static_cast<int64_t>(20 + this->dice.Below(180))));
+			this->clock.RunUntil(this->clock.Now() + Millis(static_cast<int64_t>(20 + this->rng.UniformBelow(180))));
 		}
 	}
 
 	void PlanTick()
 	{
-		if (this->undecided == 0) {
-			JobPlan plan = PlanJobs(this->tail.State(), this->policy, JOBS_A_STEP);
+		if (this->undecided_proposals == 0) {
+			JobPlan plan = PlanJobs(this->tail.State(), this->policy, PLACEMENTS_PER_STEP);
 			for (Proposal &it : plan.placements) {
-				this->undecided++;
-				this->Submit(std::move(it), WritePriority::WP_JOB, [this](const Decision &) { this->undecided--; });
+				this->undecided_proposals++;
+				this->Submit(std::move(it), WritePriority::WP_JOB,
+							 [this](const Decision &) { this->undecided_proposals--; });
 			}
 			for (const JobName &name : plan.stop) {
 				this->Stop(name);
@@ -186,7 +187,7 @@
 		}
 		this->preempted++;
 		const uint32_t attempt = this->tail.State().jobs.at(name).attempt;
-		this->clock.After(CHECKPOINT_TIME + LIST_LAG, [this, name, attempt] {
+		this->clock.After(CHECKPOINT_TIME + REPORT_DELAY, [this, name, attempt] {
 			this->stopping.erase(name);
 			this->Report(name, attempt, JobOutcome::JO_CHECKPOINT);
 		});
@@ -210,7 +211,7 @@
 				++it;
 				continue;
 			}
-			this->starts.push_back(static_cast<double>((this->clock.Now() - it->second).Value()));
+			this->start_delays_ms.push_back(static_cast<double>((this->clock.Now() - it->second).Value()));
 			const uint32_t attempt = job->second.attempt;
 			this->clock.After(Millis(1000),
 							  [this, name = it->first, attempt] { this->Report(name, attempt, JobOutcome::JO_DONE); });
@@ -245,15 +246,17 @@
 		const uint64_t before = this->writer.Counters().appends;
 		std::vector<std::string> names;
 		for (const auto &[name, job] : this->tail.State().jobs) {
-			if (names.size() < CANCEL_WAVE && (job.state == JobState::JS_WAITING || job.state == JobState::JS_PLACED)) {
+			if (names.size() < CANCEL_WAVE_JOBS &&
+				(job.state == JobState::JS_WAITING || job.state == JobState::JS_PLACED)) {
 				names.push_back(name.Value());
 			}
 		}
 		const auto left = std::make_shared<size_t>(0);
-		for (size_t i = 0; i < names.size(); i += CANCEL_BATCH) {
+		for (size_t i = 0; i < names.size(); i += CANCEL_BATCH_JOBS) {
 			glade::wire::JobCancelT cancel;
 			cancel.jobs.assign(names.begin() + static_cast<std::ptrdiff_t>(i),
-							   names.begin() + static_cast<std::ptrdiff_t>(std::min(i + CANCEL_BATCH, names.size())));
+							   names.begin() +
+									   static_cast<std::ptrdiff_t>(std::min(i + CANCEL_BATCH_JOBS, names.size())));
 			++*left;
 			this->Submit(MakeProposal(std::move(cancel)), WritePriority::WP_JOB,
 						 [this, left, begin, before](const Decision &) {
@@ -271,20 +274,20 @@
 
 int RunJobsBench(const BenchOptions &options)
 {
-	const FleetPreset preset = PresetOf(options.preset);
-	JobsRun run(preset, options.seed);
+	const FleetPreset preset = PresetByName(options.preset);
+	JobsSimulation run(preset, options.seed);
 	run.Run(options.quick);
 	const auto print = [&](const char *figure, double value, const char *unit) {
 		PrintFigure({"jobs", preset.name, figure, value, unit, "", 0, options.seed});
 	};
-	print("urgent_start_p50", QuantileOf(run.starts, 0.5), "ms");
-	print("urgent_start_p99", QuantileOf(run.starts, 0.99), "ms");
-	print("urgent_start_max", QuantileOf(run.starts, 1.0), "ms");
-	print("urgent_not_started", static_cast<double>(run.urgent - run.starts.size()), "jobs");
+	print("urgent_start_p50", QuantileOf(run.start_delays_ms, 0.5), "ms");
+	print("urgent_start_p99", QuantileOf(run.start_delays_ms, 0.99), "ms");
+	print("urgent_start_max", QuantileOf(run.start_delays_ms, 1.0), "ms");
+	print("urgent_not_started", static_cast<double>(run.urgent_submitted - run.start_delays_ms.size()), "jobs");
 	print("preempted_for_urgent", static_cast<double>(run.preempted), "jobs");
-	print("jobs_accepted_a_second", run.accepted_a_second, "1/s");
+	print("jobs_accepted_a_second", run.accepted_per_second, "1/s");
 	print("unfairness", run.unfairness, "largest difference of shares of quota");
 	print("cancel_wave_in_force", run.cancel_ms, "ms");
 	print("cancel_wave_appends", static_cast<double>(run.cancel_appends), "appends");
-	return run.urgent == run.starts.size() ? 0 : 1;
+	return run.urgent_submitted == run.start_delays_ms.size() ? 0 : 1;
 }
--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -27,16 +27,17 @@
 )";
 
 /** A bench by name. */
-struct BenchEntry {
+struct BenchCommand {
 	const char *name;                 ///< Its word on the command line.
 	int (*run)(const BenchOptions &); ///< Runs it.
 };
 
-constexpr std::array _benches = {BenchEntry{"maintain", RunMaintainBench}, BenchEntry{"optimum", RunOptimumBench},
-								 BenchEntry{"fold", RunFoldBench},         BenchEntry{"jobs", RunJobsBench},
-								 BenchEntry{"config", RunConfigBench},     BenchEntry{"overload", RunOverloadBench},
-								 BenchEntry{"slots", RunSlotsBench},       BenchEntry{"proxy", RunProxyBench},
-								 BenchEntry{"fleet", RunHolderBench},      BenchEntry{"capacity", RunCapacityBench}};
+constexpr std::array _benches = {
+		BenchCommand{"maintain", RunMaintainBench}, BenchCommand{"optimum", RunOptimumBench},
+		BenchCommand{"fold", RunFoldBench},         BenchCommand{"jobs", RunJobsBench},
+		BenchCommand{"config", RunConfigBench},     BenchCommand{"overload", RunOverloadBench},
+		BenchCommand{"slots", RunSlotsBench},       BenchCommand{"proxy", RunProxyBench},
+		BenchCommand{"fleet", RunFleetOwnerBench},  BenchCommand{"capacity", RunCapacityBench}};
 
 } // namespace
 
@@ -63,7 +64,7 @@
 		std::cerr << Result{ResultCode::RC_USAGE, "--preset: expected greenhouse, lindeboom or letter1"}.Text() << '\n';
 		return static_cast<int>(ExitCode::EC_USAGE);
 	}
-	for (const BenchEntry &it : _benches) {
+	for (const BenchCommand &it : _benches) {
 		if (args[it.name].asBool()) {
 			return it.run(options);
 		}
--- a/src/bench/maintain_bench.cpp
+++ b/src/bench/maintain_bench.cpp
@@ -1,6 +1,6 @@
 /** @file maintain_bench.cpp Three weeks of maintenance over the real fold: ours against the baselines. */
 #include "bench_output.h"
-#include "fleet_world.h"
+#include "simulated_fleet.h"
 #include "strategy.h"
 
 #include <algorithm>
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr Millis STEP(5 * 60 * MS_PER_SECOND); ///< Virtual time between two looks.
-constexpr Millis SPAN(21 * MS_PER_DAY);        ///< Length of a run.
-constexpr Millis START(1000 * MS_PER_DAY);     ///< Virtual wall clock at the start.
-constexpr Millis JOB_MEAN(2 * MS_PER_HOUR);    ///< Time that a job runs.
-constexpr int ROUNDS_A_STEP = 3;               ///< Planning steps within a look: one leads to the next.
-constexpr size_t JOBS_A_STEP = 500;            ///< Placements in one planning step.
-constexpr double US_PER_MS = 1000.0;           ///< Microseconds in a millisecond.
+constexpr Millis TIME_STEP(5 * 60 * MS_PER_SECOND); ///< Virtual time between two looks.
+constexpr Millis SPAN(21 * MS_PER_DAY);             ///< Length of a run.
+constexpr Millis START_TIME(1000 * MS_PER_DAY);     ///< Virtual wall clock at the start.
+constexpr Millis JOB_TIME_MEAN(2 * MS_PER_HOUR);    ///< Time that a job runs.
+constexpr int PLANNING_ROUNDS_PER_STEP = 3;         ///< Planning steps within a look: one leads to the next.
+constexpr size_t PLACEMENTS_PER_STEP = 500;         ///< Placements in one planning step.
+constexpr double US_PER_MS = 1000.0;                ///< Microseconds in a millisecond.
 
 /** What a run of three weeks showed. */
 struct MaintainResult {
@@ -35,41 +35,41 @@
 };
 
 /** One run. */
-class MaintainRun {
+class MaintenanceSimulation {
 public:
-	MaintainRun(const FleetPreset &preset, uint64_t seed, Strategy &strategy)
-			: preset(preset), strategy(strategy), world(preset, seed), job_dice(seed * 7919 + 1)
+	MaintenanceSimulation(const FleetPreset &preset, uint64_t seed, Strategy &strategy)
+			: preset(preset), strategy(strategy), simulated_fleet(preset, seed), job_rng(seed * 7919 + 1)
 	{
 	}
 
 	MaintainResult Run(Millis span)
 	{
-		this->Begin();
-		for (Millis t(0); t < span; t = t + STEP) {
-			this->now = START + t;
-			this->world.Step(this->now, STEP);
-			this->Look();
+		this->SetUp();
+		for (Millis t(0); t < span; t = t + TIME_STEP) {
+			this->now = START_TIME + t;
+			this->simulated_fleet.Step(this->now, TIME_STEP);
+			this->RunStep();
 		}
-		this->Conclude();
+		this->Summarize();
 		return this->result;
 	}
 
 private:
-	FleetPreset preset;                 ///< Sizes and rates.
-	Strategy &strategy;                 ///< What plans.
-	FleetWorld world;                   ///< The boxes as they are.
-	Dice job_dice;                      ///< Random numbers of jobs.
-	FleetState fleet;                   ///< The state.
-	Millis now = START;                 ///< Virtual time.
-	uint64_t sequence = 0;              ///< Of the one writer.
-	uint64_t offset = 0;                ///< Of the log.
-	uint64_t jobs = 0;                  ///< Jobs accepted.
-	std::map<JobName, Millis> job_ends; ///< When running jobs end.
-	MaintainResult result;              ///< What is seen.
-	double buffer_sum = 0;              ///< Sum of the buffer's share.
-	double bound_sum = 0;               ///< Sum of its bound.
-	uint64_t looks = 0;                 ///< Looks taken.
-	Millis last_first_time = START;     ///< When a box was maintained for the first time, the last such.
+	FleetPreset preset;                         ///< Sizes and rates.
+	Strategy &strategy;                         ///< What plans.
+	SimulatedFleet simulated_fleet;             ///< The boxes as they are.
+	RandomSource job_rng;                       ///< Random numbers of jobs.
+	FleetState fleet;                           ///< The state.
+	Millis now = START_TIME;                    ///< Virtual time.
+	uint64_t sequence = 0;                      ///< Of the one writer.
+	uint64_t offset = 0;                        ///< Of the log.
+	uint64_t jobs = 0;                          ///< Jobs accepted.
+	std::map<JobName, Millis> job_ends;         ///< When running jobs end.
+	MaintainResult result;                      ///< What is seen.
+	double buffer_sum = 0;                      ///< Sum of the buffer's share.
+	double bound_sum = 0;                       ///< Sum of its bound.
+	uint64_t measurements = 0;                  ///< Looks taken.
+	Millis last_first_maintenance = START_TIME; ///< When a box was maintained for the first time, the last such.
 
 	/** Appends proposals in one record and folds it. */
 	void Append(std::vector<Proposal> proposals)
@@ -120,13 +120,13 @@
 		this->AppendOne(std::move(publish));
 	}
 
-	void Begin()
+	void SetUp()
 	{
 		glade::wire::PlannerTermT term;
 		term.region = "main";
 		term.member = "planner";
 		this->AppendOne(std::move(term));
-		this->Publish(this->world.FirstTable());
+		this->Publish(this->simulated_fleet.InitialTable());
 		std::vector<Proposal> quotas;
 		const uint32_t units = std::max(this->preset.boxes * this->preset.slots / this->preset.teams, 4U);
 		for (uint32_t i = 0; i < this->preset.teams; i++) {
@@ -138,12 +138,12 @@
 		this->Append(std::move(quotas));
 	}
 
-	void Look()
+	void RunStep()
 	{
-		this->Publish(this->world.NextEdit(this->fleet, STEP));
+		this->Publish(this->simulated_fleet.RandomTableEdit(this->fleet, TIME_STEP));
 		this->AcceptJobs();
-		this->EndJobs();
-		for (int i = 0; i < ROUNDS_A_STEP; i++) {
+		this->ReportEndedJobs();
+		for (int i = 0; i < PLANNING_ROUNDS_PER_STEP; i++) {
 			this->Plan();
 		}
 		this->PlanJobsOnce();
@@ -153,7 +153,7 @@
 	void Plan()
 	{
 		PlannerInputs inputs;
-		inputs.list = this->world.List();
+		inputs.list = this->simulated_fleet.List();
 		const std::map<BoxName, Box> before = this->fleet.boxes;
 		const auto begin = std::chrono::steady_clock::now();
 		std::vector<Proposal> proposals = this->strategy.Step(this->fleet, inputs);
@@ -162,10 +162,10 @@
 		this->result.plan_us += took;
 		this->result.plan_us_max = std::max(this->result.plan_us_max, took);
 		this->Append(std::move(proposals));
-		this->NoteChanges(before);
+		this->ApplyChanges(before);
 	}
 
-	void NoteChanges(const std::map<BoxName, Box> &before)
+	void ApplyChanges(const std::map<BoxName, Box> &before)
 	{
 		for (const auto &[name, box] : this->fleet.boxes) {
 			const auto old = before.find(name);
@@ -174,28 +174,28 @@
 			}
 			this->result.box_moves += old->second.pool != box.pool ? 1 : 0;
 			if (old->second.state != box.state && box.state == BoxState::BS_REBOOTING) {
-				this->world.Reboot(name, box.permit, this->now);
+				this->simulated_fleet.Reboot(name, box.permit, this->now);
 			}
 			if (old->second.last_maintained == Millis(0) && box.last_maintained != Millis(0)) {
-				this->last_first_time = this->now;
+				this->last_first_maintenance = this->now;
 			}
 		}
 	}
 
 	void AcceptJobs()
 	{
-		const double a_step =
-				this->preset.jobs_a_day * static_cast<double>(STEP.Value()) / static_cast<double>(MS_PER_DAY);
+		const double jobs_per_step =
+				this->preset.jobs_per_day * static_cast<double>(TIME_STEP.Value()) / static_cast<double>(MS_PER_DAY);
 		std::vector<Proposal> proposals;
-		for (double left = a_step; left > 0; left -= 1) {
-			if (!this->job_dice.Happens(std::min(left, 1.0), Millis(MS_PER_DAY))) {
+		for (double left = jobs_per_step; left > 0; left -= 1) {
+			if (!this->job_rng.EventOccurs(std::min(left, 1.0), Millis(MS_PER_DAY))) {
 				continue;
 			}
 			glade::wire::JobAcceptT job;
 			job.job = "job-" + std::to_string(++this->jobs);
-			job.team = "team-" + std::to_string(this->job_dice.Below(this->preset.teams));
+			job.team = "team-" + std::to_string(this->job_rng.UniformBelow(this->preset.teams));
 			job.work_class = static_cast<uint8_t>(WorkClass::WC_BATCH);
-			job.units = 1 + static_cast<uint32_t>(this->job_dice.Below(3));
+			job.units = 1 + static_cast<uint32_t>(this->job_rng.UniformBelow(3));
 			job.repeatable = true;
 			proposals.push_back(MakeProposal(std::move(job)));
 		}
@@ -212,7 +212,7 @@
 		this->job_ends.erase(job.name);
 	}
 
-	void EndJobs()
+	void ReportEndedJobs()
 	{
 		std::vector<Proposal> proposals;
 		for (const auto &[name, job] : this->fleet.jobs) {
@@ -232,11 +232,11 @@
 
 	void PlanJobsOnce()
 	{
-		JobPlan plan = PlanJobs(this->fleet, this->strategy.JobPolicy(), JOBS_A_STEP);
+		JobPlan plan = PlanJobs(this->fleet, this->strategy.JobPolicy(), PLACEMENTS_PER_STEP);
 		this->Append(std::move(plan.placements));
 		for (const auto &[name, job] : this->fleet.jobs) {
 			if (job.state == JobState::JS_PLACED && !this->job_ends.contains(name)) {
-				this->job_ends[name] = this->now + this->job_dice.Around(JOB_MEAN);
+				this->job_ends[name] = this->now + this->job_rng.ExponentialSpan(JOB_TIME_MEAN);
 			}
 		}
 		std::vector<Proposal> stops;
@@ -249,16 +249,16 @@
 
 	void Measure()
 	{
-		uint64_t idle = 0;
-		uint64_t all = 0;
-		uint64_t bound = 0;
+		uint64_t idle_slots = 0;
+		uint64_t all_slots = 0;
+		uint64_t bound_slots = 0;
 		for (const auto &[name, pool] : PoolModelsOf(this->fleet)) {
 			const PoolFloors floors = FloorsOf(pool);
 			const PoolCapacity capacity = CapacityOf(pool);
 			PoolModel without_plan = pool;
 			uint64_t planned_down = 0;
 			for (Box &box : without_plan.boxes) {
-				all += box.slots.Value();
+				all_slots += box.slots.Value();
 				if (box.permit != PermitId()) {
 					planned_down += box.slots.Value();
 					box.state = BoxState::BS_SERVING;
@@ -266,23 +266,24 @@
 				}
 			}
 			const uint64_t up_boxes = capacity.up / this->preset.slots;
-			bound += (up_boxes + this->preset.zones - 1) / this->preset.zones * this->preset.slots;
-			idle += HeadroomOf(capacity, floors) + planned_down;
+			bound_slots += (up_boxes + this->preset.zones - 1) / this->preset.zones * this->preset.slots;
+			idle_slots += HeadroomOf(capacity, floors) + planned_down;
 			if (!FloorsHold(capacity, floors, false)) {
 				const bool by_plan = FloorsHold(CapacityOf(without_plan), floors, false);
 				(by_plan ? this->result.violations_planned : this->result.violations_unplanned)++;
 			}
 		}
-		this->buffer_sum += all == 0 ? 0 : static_cast<double>(idle) / static_cast<double>(all);
-		this->bound_sum += all == 0 ? 0 : static_cast<double>(bound) / static_cast<double>(all);
-		this->looks++;
+		this->buffer_sum += all_slots == 0 ? 0 : static_cast<double>(idle_slots) / static_cast<double>(all_slots);
+		this->bound_sum += all_slots == 0 ? 0 : static_cast<double>(bound_slots) / static_cast<double>(all_slots);
+		this->measurements++;
 	}
 
-	void Conclude()
+	void Summarize()
 	{
-		this->result.buffer_share = this->buffer_sum / static_cast<double>(this->looks);
-		this->result.buffer_bound = this->bound_sum / static_cast<double>(this->looks);
-		this->result.rollout_hours = static_cast<double>((this->last_first_time - START).Value()) / MS_PER_HOUR;
+		this->result.buffer_share = this->buffer_sum / static_cast<double>(this->measurements);
+		this->result.buffer_bound = this->bound_sum / static_cast<double>(this->measurements);
+		this->result.rollout_hours =
+				static_cast<double>((this->last_first_maintenance - START_TIME).Value()) / MS_PER_HOUR;
 		this->result.overdue = static_cast<uint64_t>(std::ranges::count_if(
 				this->fleet.boxes, [](const auto &it) { return it.second.last_maintained == Millis(0); }));
 	}
@@ -343,11 +344,11 @@
 
 int RunMaintainBench(const BenchOptions &options)
 {
-	const FleetPreset preset = PresetOf(options.preset);
-	const PlannerPolicy policy = preset.lindeboom ? LindeboomPolicy() : GreenhousePolicy();
+	const FleetPreset preset = PresetByName(options.preset);
+	const PlannerPolicy policy = preset.lindeboom_policy ? LindeboomPolicy() : GreenhousePolicy();
 	const Millis span = options.quick ? Millis(2 * MS_PER_DAY) : SPAN;
 	std::vector<std::unique_ptr<Strategy>> strategies;
-	strategies.push_back(OurStrategy(policy));
+	strategies.push_back(PlannerStrategy(policy));
 	strategies.push_back(EvenSplitStrategy());
 	strategies.push_back(FirstFitStrategy());
 	strategies.push_back(OneAtATimeStrategy());
@@ -355,18 +356,18 @@
 	for (const auto &strategy : strategies) {
 		MaintainResult sum;
 		for (uint64_t seed = options.seed; seed < options.seed + options.seeds; seed++) {
-			AddTo(sum, MaintainRun(preset, seed, *strategy).Run(span));
+			AddTo(sum, MaintenanceSimulation(preset, seed, *strategy).Run(span));
 		}
 		results.push_back(sum);
 	}
 	for (const MaintainFigure &it : _figures) {
-		const double ours = it.value(results[0]);
-		PrintFigure({"maintain", preset.name, it.name, ours, it.unit, "", 0, options.seed});
+		const double planner_value = it.value(results[0]);
+		PrintFigure({"maintain", preset.name, it.name, planner_value, it.unit, "", 0, options.seed});
 		for (size_t i = 1; i < strategies.size(); i++) {
-			const double other = it.value(results[i]);
+			const double baseline_value = it.value(results[i]);
 			const std::string name = std::string(it.name) + "." + strategies[i]->Name();
-			PrintFigure({"maintain", preset.name, name, other, it.unit, strategies[i]->Name(),
-						 other == 0 ? 0 : ours / other, options.seed});
+			PrintFigure({"maintain", preset.name, name, baseline_value, it.unit, strategies[i]->Name(),
+						 baseline_value == 0 ? 0 : planner_value / baseline_value, options.seed});
 		}
 	}
 	return results[0].violations_planned == 0 ? 0 : 1;
--- a/src/bench/optimum_bench.cpp
+++ b/src/bench/optimum_bench.cpp
@@ -1,6 +1,6 @@
 /** @file optimum_bench.cpp Small fleets: moves of our planner after a change of floors against the fewest possible. */
 #include "bench_output.h"
-#include "fleet_world.h"
+#include "simulated_fleet.h"
 
 #include "../fleet/budget_func.h"
 #include "../planner/planner_func.h"
@@ -9,42 +9,42 @@
 
 namespace {
 
-constexpr uint32_t BOXES = 9;   ///< Boxes of a fleet: 3 zones of 3 racks.
-constexpr uint32_t POOLS = 3;   ///< Pools.
-constexpr uint32_t SLOTS = 8;   ///< Slots of a box.
-constexpr int MOST_STEPS = 200; ///< Planning steps after which ours counts as not arrived.
-constexpr uint64_t CASES = 200; ///< Changes of floors a seed.
+constexpr uint32_t BOXES = 9;            ///< Boxes of a fleet: 3 zones of 3 racks.
+constexpr uint32_t POOLS = 3;            ///< Pools.
+constexpr uint32_t SLOTS = 8;            ///< Slots of a box.
+constexpr int MAX_STEPS = 200;           ///< Planning steps after which ours counts as not arrived.
+constexpr uint64_t CASES_PER_SEED = 200; ///< Changes of floors a seed.
 
 /** A fleet of boxes in pools, and floors. */
-struct Small {
+struct SmallFleet {
 	std::vector<Box> boxes;       ///< The boxes.
 	std::vector<uint32_t> floors; ///< Floor of each pool's service.
 };
 
-PoolModel PictureOfPool(const Small &small, const std::vector<uint32_t> &assignment, uint32_t pool)
+PoolModel ModelOfPool(const SmallFleet &fleet, const std::vector<uint32_t> &assignment, uint32_t pool)
 {
-	PoolModel picture;
-	picture.name = PoolName(PoolOf(pool));
+	PoolModel model;
+	model.name = PoolName(PoolNameOf(pool));
 	ServiceRow row;
-	row.service = ServiceName(ServiceOf(pool));
-	row.pool = picture.name;
-	row.floor = Slots(small.floors[pool]);
+	row.service = ServiceName(ServiceNameOf(pool));
+	row.pool = model.name;
+	row.floor = Slots(fleet.floors[pool]);
 	row.ceiling = Slots(SLOTS * BOXES);
 	row.guard = Guard::GD_ZONE;
-	picture.rows.push_back(row);
-	for (size_t i = 0; i < small.boxes.size(); i++) {
+	model.rows.push_back(row);
+	for (size_t i = 0; i < fleet.boxes.size(); i++) {
 		if (assignment[i] == pool) {
-			picture.boxes.push_back(small.boxes[i]);
+			model.boxes.push_back(fleet.boxes[i]);
 		}
 	}
-	return picture;
+	return model;
 }
 
-bool Holds(const Small &small, const std::vector<uint32_t> &assignment)
+bool AllFloorsHold(const SmallFleet &fleet, const std::vector<uint32_t> &assignment)
 {
 	for (uint32_t pool = 0; pool < POOLS; pool++) {
-		const PoolModel picture = PictureOfPool(small, assignment, pool);
-		if (!FloorsHold(CapacityOf(picture), FloorsOf(picture), true)) {
+		const PoolModel model = ModelOfPool(fleet, assignment, pool);
+		if (!FloorsHold(CapacityOf(model), FloorsOf(model), true)) {
 			return false;
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 /** Tries every assignment. */
-uint32_t FewestMoves(const Small &small, const std::vector<uint32_t> &from)
+uint32_t FewestMoves(const SmallFleet &fleet, const std::vector<uint32_t> &from)
 {
 	uint32_t best = UINT32_MAX;
 	std::vector<uint32_t> assignment(BOXES, 0);
@@ -61,44 +61,44 @@
 		for (uint32_t i = 0; i < BOXES; i++) {
 			moves += assignment[i] != from[i] ? 1 : 0;
 		}
-		if (moves < best && Holds(small, assignment)) {
+		if (moves < best && AllFloorsHold(fleet, assignment)) {
 			best = moves;
 		}
-		uint32_t place = 0;
-		while (place < BOXES && ++assignment[place] == POOLS) {
-			assignment[place++] = 0;
+		uint32_t digit = 0;
+		while (digit < BOXES && ++assignment[digit] == POOLS) {
+			assignment[digit++] = 0;
 		}
-		if (place == BOXES) {
+		if (digit == BOXES) {
 			return best;
 		}
 	}
 }
 
 /** Lets the planner move boxes, each move carried out at once, until guards hold or nothing moves any more. */
-uint32_t OurMoves(const Small &small, std::vector<uint32_t> assignment, bool &arrived)
+uint32_t PlannerMoves(const SmallFleet &fleet, std::vector<uint32_t> assignment, bool &floors_hold)
 {
 	PlannerPolicy policy = GreenhousePolicy();
 	policy.blocked_lead = Millis(0);
 	uint32_t moves = 0;
-	for (int step = 0; step < MOST_STEPS; step++) {
+	for (int step = 0; step < MAX_STEPS; step++) {
 		PoolDraft draft;
 		for (uint32_t pool = 0; pool < POOLS; pool++) {
-			draft[PoolName(PoolOf(pool))] = PictureOfPool(small, assignment, pool);
+			draft[PoolName(PoolNameOf(pool))] = ModelOfPool(fleet, assignment, pool);
 		}
 		const std::vector<Proposal> proposals = PlanMoves(draft, Millis(0), policy, {});
 		if (proposals.empty()) {
 			break;
 		}
 		const auto *grant = proposals.front()->change.AsPermitGrant();
-		const auto box = std::ranges::find(small.boxes, BoxName(grant->box), &Box::name);
+		const auto box = std::ranges::find(fleet.boxes, BoxName(grant->box), &Box::name);
 		for (uint32_t pool = 0; pool < POOLS; pool++) {
-			if (PoolOf(pool) == grant->move_to) {
-				assignment[static_cast<size_t>(box - small.boxes.begin())] = pool;
+			if (PoolNameOf(pool) == grant->move_to) {
+				assignment[static_cast<size_t>(box - fleet.boxes.begin())] = pool;
 			}
 		}
 		moves++;
 	}
-	arrived = Holds(small, assignment);
+	floors_hold = AllFloorsHold(fleet, assignment);
 	return moves;
 }
 
@@ -106,53 +106,54 @@
 
 int RunOptimumBench(const BenchOptions &options)
 {
-	Dice dice(options.seed);
-	Small small;
+	RandomSource rng(options.seed);
+	SmallFleet fleet;
 	for (uint32_t i = 0; i < BOXES; i++) {
 		Box box;
 		box.name = BoxName("box-" + std::to_string(i));
 		box.SetDomains(ZoneName(std::to_string(i / 3)), RackName(std::to_string(i)));
 		box.slots = Slots(SLOTS);
 		box.health = BoxHealth::BH_UP;
-		small.boxes.push_back(box);
+		fleet.boxes.push_back(box);
 	}
-	uint64_t fewest = 0;
-	uint64_t ours = 0;
-	uint64_t counted = 0;
-	uint64_t missed = 0;
-	const uint64_t cases = options.quick ? CASES / 10 : CASES;
-	while (counted + missed < cases) {
+	uint64_t fewest_moves = 0;
+	uint64_t planner_moves = 0;
+	uint64_t counted_cases = 0;
+	uint64_t missed_cases = 0;
+	const uint64_t cases = options.quick ? CASES_PER_SEED / 10 : CASES_PER_SEED;
+	while (counted_cases + missed_cases < cases) {
 		std::vector<uint32_t> from;
 		for (uint32_t i = 0; i < BOXES; i++) {
 			from.push_back(i % POOLS);
 		}
-		std::ranges::for_each(
-				from, [&](uint32_t &it) { it = dice.Below(4) == 0 ? static_cast<uint32_t>(dice.Below(POOLS)) : it; });
-		small.floors.clear();
+		std::ranges::for_each(from, [&](uint32_t &it) {
+			it = rng.UniformBelow(4) == 0 ? static_cast<uint32_t>(rng.UniformBelow(POOLS)) : it;
+		});
+		fleet.floors.clear();
 		for (uint32_t pool = 0; pool < POOLS; pool++) {
-			small.floors.push_back(static_cast<uint32_t>(dice.Below(4)) * SLOTS);
+			fleet.floors.push_back(static_cast<uint32_t>(rng.UniformBelow(4)) * SLOTS);
 		}
-		const uint32_t best = FewestMoves(small, from);
+		const uint32_t best = FewestMoves(fleet, from);
 		if (best == 0 || best == UINT32_MAX) {
 			continue; /* Nothing to do, or nothing would help. */
 		}
-		bool arrived = false;
-		const uint32_t moves = OurMoves(small, from, arrived);
-		if (!arrived) {
-			missed++;
+		bool floors_hold = false;
+		const uint32_t moves = PlannerMoves(fleet, from, floors_hold);
+		if (!floors_hold) {
+			missed_cases++;
 			continue;
 		}
-		fewest += best;
-		ours += moves;
-		counted++;
+		fewest_moves += best;
+		planner_moves += moves;
+		counted_cases++;
 	}
 	const auto print = [&](const char *figure, double value, const char *unit, double ratio) {
 		PrintFigure({"optimum", "9_boxes_3_pools", figure, value, unit, ratio == 0 ? "" : "fewest_possible", ratio,
 					 options.seed});
 	};
-	print("moves", static_cast<double>(ours), "moves",
-		  static_cast<double>(ours) / static_cast<double>(std::max<uint64_t>(fewest, 1)));
-	print("cases", static_cast<double>(counted), "changes of floors", 0);
-	print("not_arrived", static_cast<double>(missed), "changes of floors", 0);
+	print("moves", static_cast<double>(planner_moves), "moves",
+		  static_cast<double>(planner_moves) / static_cast<double>(std::max<uint64_t>(fewest_moves, 1)));
+	print("cases", static_cast<double>(counted_cases), "changes of floors", 0);
+	print("not_arrived", static_cast<double>(missed_cases), "changes of floors", 0);
 	return 0;
 }
--- a/src/bench/overload_bench.cpp
+++ b/src/bench/overload_bench.cpp
@@ -1,6 +1,6 @@
 /** @file overload_bench.cpp Three times the capacity with faults, through the real request path on a virtual clock. */
 #include "bench_output.h"
-#include "fleet_world.h"
+#include "simulated_fleet.h"
 
 #include "../request/exchange.h"
 #include "../standin/memory/simple_view.h"
@@ -9,54 +9,54 @@
 
 namespace {
 
-constexpr uint32_t ENDPOINTS = 10;  ///< Endpoints of the pool, two a rack.
-constexpr uint32_t SLOTS = 8;       ///< Slots of each.
-constexpr Millis WORK(40);          ///< Mean time of a request.
-constexpr uint32_t SLOW_FACTOR = 5; ///< How much longer the slow endpoint takes.
-constexpr Millis FAST_FAILURE(2);   ///< Time after which the failing endpoint answers 500.
-constexpr size_t SLOW = 3;          ///< The slow endpoint.
-constexpr size_t FAILING = 7;       ///< The endpoint that fails everything.
-constexpr size_t RACK_FIRST = 4;    ///< First endpoint of the rack that is lost.
-constexpr size_t RACK_LAST = 5;     ///< Last endpoint of it.
-constexpr double LOAD = 3.0;        ///< Demand against the slots' capacity.
-constexpr Millis TICK(20);          ///< Tick of gates.
-constexpr int STATUS_GOOD = 200;    ///< HTTP status.
-constexpr int STATUS_ERROR = 500;   ///< HTTP status.
+constexpr uint32_t ENDPOINTS = 10;      ///< Endpoints of the pool, two a rack.
+constexpr uint32_t SLOTS = 8;           ///< Slots of each.
+constexpr Millis SERVICE_TIME_MEAN(40); ///< Mean time of a request.
+constexpr uint32_t SLOW_FACTOR = 5;     ///< How much longer the slow endpoint takes.
+constexpr Millis FAILURE_TIME(2);       ///< Time after which the failing endpoint answers 500.
+constexpr size_t SLOW_ENDPOINT = 3;     ///< The slow endpoint.
+constexpr size_t FAILING_ENDPOINT = 7;  ///< The endpoint that fails everything.
+constexpr size_t LOST_RACK_FIRST = 4;   ///< First endpoint of the rack that is lost.
+constexpr size_t LOST_RACK_LAST = 5;    ///< Last endpoint of it.
+constexpr double LOAD_FACTOR = 3.0;     ///< Demand against the slots' capacity.
+constexpr Millis GATE_TICK(20);         ///< Tick of gates.
+constexpr int STATUS_OK = 200;          ///< HTTP status.
+constexpr int STATUS_ERROR = 500;       ///< HTTP status.
 
 /** A class of callers. */
-struct Traffic {
+struct TrafficClass {
 	const char *service; ///< Service.
 	uint32_t percent;    ///< Share of the demand.
 	Millis deadline;     ///< How long callers wait.
 };
 
-constexpr Traffic _traffic[] = {
+constexpr TrafficClass _traffic_classes[] = {
 		{"counter", 20, Millis(300)}, {"reservations", 40, Millis(2000)}, {"claims", 40, Millis(10000)}};
 
 /** How requests are handled. */
-struct Handling {
+struct OverloadPolicy {
 	const char *name;  ///< Name.
 	GateSettings gate; ///< Settings of the gate.
-	uint32_t tries;    ///< Most endpoints tried.
+	uint32_t attempts; ///< Most endpoints tried.
 	bool retry_budget; ///< Whether retries are limited.
 };
 
-std::vector<Handling> Handlings()
+std::vector<OverloadPolicy> OverloadPolicies()
 {
-	std::vector<Handling> all;
+	std::vector<OverloadPolicy> all;
 	all.push_back({"glademount", GateSettings{}, 3, true});
-	GateSettings robin;
-	robin.two_choices = false;
-	robin.eject = false;
-	all.push_back({"round_robin", robin, 3, true});
+	GateSettings round_robin;
+	round_robin.two_choices = false;
+	round_robin.eject = false;
+	all.push_back({"round_robin", round_robin, 3, true});
 	GateSettings admit_all;
 	admit_all.admit_by_deadline = false;
 	all.push_back({"no_admission", admit_all, 3, true});
 	GateSettings unbounded = admit_all;
 	unbounded.queue_limit = 1000000;
 	all.push_back({"unbounded_queue", unbounded, 3, true});
-	GateSettings plain = robin;
-	all.push_back({"plain_retries", plain, 10, false});
+	GateSettings plain_retries = round_robin;
+	all.push_back({"plain_retries", plain_retries, 10, false});
 	return all;
 }
 
@@ -70,32 +70,34 @@
 };
 
 /** One run. */
-class OverloadRun : public EndpointDialer {
+class OverloadSimulation : public EndpointDialer {
 public:
-	OverloadRun(const Handling &handling, uint64_t seed, Millis span)
-			: dice(seed), span(span),
-			  path(EntryIdentity{MemberName("entry"), ZoneName("z"), Incarnation(1)}, handling.gate, LeaseTimes{},
-				   KeyLimits{}, SettingsOf(handling), this->credentials)
+	OverloadSimulation(const OverloadPolicy &policy, uint64_t seed, Millis span)
+			: rng(seed), span(span), path(EntryIdentity{MemberName("entry"), ZoneName("z"), Incarnation(1)},
+										  policy.gate, LeaseTimes{}, KeyLimits{}, SettingsOf(policy), this->credentials)
 	{
-		this->budget = handling.retry_budget;
+		this->limit_retries = policy.retry_budget;
 		this->PushView();
 	}
 
 	OverloadResult Run()
 	{
 		this->Tick();
-		this->Arrive();
+		this->SubmitRequests();
 		this->clock.RunUntil(this->span);
-		this->over = true;
+		this->finished = true;
 		this->clock.RunUntil(this->span + Millis(70000));
 		OverloadResult result;
-		result.urgent_on_time =
-				static_cast<double>(this->good[0]) / static_cast<double>(std::max<uint64_t>(this->sent[0], 1));
-		result.goodput = static_cast<double>(this->good[0] + this->good[1] + this->good[2]) / this->Allowed();
-		const double all = static_cast<double>(this->sent[0] + this->sent[1] + this->sent[2]);
+		result.urgent_on_time = static_cast<double>(this->good_answers[0]) /
+								static_cast<double>(std::max<uint64_t>(this->sent_requests[0], 1));
+		result.goodput = static_cast<double>(this->good_answers[0] + this->good_answers[1] + this->good_answers[2]) /
+						 this->AnswerCapacity();
+		const double all =
+				static_cast<double>(this->sent_requests[0] + this->sent_requests[1] + this->sent_requests[2]);
 		result.retries = static_cast<double>(this->path.counters.retries) / all;
-		result.amplification = static_cast<double>(this->calls) /
-							   static_cast<double>(std::max<uint64_t>(this->calls - this->path.counters.retries, 1));
+		result.amplification =
+				static_cast<double>(this->endpoint_calls) /
+				static_cast<double>(std::max<uint64_t>(this->endpoint_calls - this->path.counters.retries, 1));
 		result.refusal_ms = this->refusals == 0 ? 0 : this->refusal_ms / static_cast<double>(this->refusals);
 		return result;
 	}
@@ -104,26 +106,26 @@
 										CallEvents &events) override;
 
 private:
-	friend class BenchCall;
-	friend struct BenchCaller;
+	friend class SimulatedCall;
+	friend struct SimulatedCaller;
 
-	Dice dice;                    ///< Random numbers.
-	Millis span;                  ///< Length of the run.
-	VirtualScheduler clock;       ///< The clock.
-	AnyCaller credentials;        ///< Who may call.
-	RequestPath path;             ///< The request path.
-	bool budget = true;           ///< Whether retries are limited.
-	bool over = false;            ///< Whether no more requests come.
-	uint64_t sent[3] = {0, 0, 0}; ///< Requests by class.
-	uint64_t good[3] = {0, 0, 0}; ///< Good answers in time.
-	uint64_t calls = 0;           ///< Sendings to endpoints.
-	double refusal_ms = 0;        ///< Time until refusals, sum.
-	uint64_t refusals = 0;        ///< Refusals.
+	RandomSource rng;                      ///< Random numbers.
+	Millis span;                           ///< Length of the run.
+	VirtualScheduler clock;                ///< The clock.
+	AnyCaller credentials;                 ///< Who may call.
+	RequestPath path;                      ///< The request path.
+	bool limit_retries = true;             ///< Whether retries are limited.
+	bool finished = false;                 ///< Whether no more requests come.
+	uint64_t sent_requests[3] = {0, 0, 0}; ///< Requests by class.
+	uint64_t good_answers[3] = {0, 0, 0};  ///< Good answers in time.
+	uint64_t endpoint_calls = 0;           ///< Sendings to endpoints.
+	double refusal_ms = 0;                 ///< Time until refusals, sum.
+	uint64_t refusals = 0;                 ///< Refusals.
 
-	static RequestSettings SettingsOf(const Handling &handling)
+	static RequestSettings SettingsOf(const OverloadPolicy &policy)
 	{
 		RequestSettings settings;
-		settings.max_attempts = handling.tries;
+		settings.max_attempts = policy.attempts;
 		settings.spillover = false;
 		return settings;
 	}
@@ -135,11 +137,11 @@
 	}
 
 	/** Good answers that the slots allow: every slot of an endpoint that works, all the time that it is there. */
-	[[nodiscard]] double Allowed() const
+	[[nodiscard]] double AnswerCapacity() const
 	{
 		const double per_endpoint =
-				static_cast<double>(SLOTS * this->span.Value()) / static_cast<double>(WORK.Value() + 1);
-		const double lost = 0.25 * (RACK_LAST - RACK_FIRST + 1);
+				static_cast<double>(SLOTS * this->span.Value()) / static_cast<double>(SERVICE_TIME_MEAN.Value() + 1);
+		const double lost = 0.25 * (LOST_RACK_LAST - LOST_RACK_FIRST + 1);
 		return per_endpoint * (ENDPOINTS - 2 - lost + 1.0 / SLOW_FACTOR);
 	}
 
@@ -149,7 +151,7 @@
 		spec.endpoints = ENDPOINTS;
 		spec.slots = SLOTS;
 		spec.services.clear();
-		for (const Traffic &it : _traffic) {
+		for (const TrafficClass &it : _traffic_classes) {
 			spec.services.emplace_back(it.service);
 		}
 		const glade::wire::ViewT view = SimpleView(spec);
@@ -159,26 +161,29 @@
 	void Tick()
 	{
 		this->path.routes.Gates().begin()->second->Tick(this->clock.Now());
-		while (!this->budget && this->path.retries.AddRetry() < 1000) {
+		while (!this->limit_retries && this->path.retries.AddRetry() < 1000) {
 		}
-		this->clock.After(TICK, [this] { this->Tick(); });
+		this->clock.After(GATE_TICK, [this] { this->Tick(); });
 	}
 
-	void Arrive();
+	void SubmitRequests();
 };
 
 /** A caller. */
-struct BenchCaller : public CallerSink {
-	BenchCaller(OverloadRun &run, size_t kind) : run(run), kind(kind), began(run.clock.Now()) {}
+struct SimulatedCaller : public CallerSink {
+	SimulatedCaller(OverloadSimulation &run, size_t class_index)
+			: run(run), class_index(class_index), begin_time(run.clock.Now())
+	{
+	}
 
 	void Begin(const ResponseHead &head) override { this->status = head.status; }
 	void Body(std::string_view) override {}
 	void End() override
 	{
-		const Millis took = this->run.clock.Now() - this->began;
-		if (this->status == STATUS_GOOD && took <= _traffic[this->kind].deadline) {
-			this->run.good[this->kind]++;
-		} else if (this->status != STATUS_GOOD && this->status != STATUS_ERROR) {
+		const Millis took = this->run.clock.Now() - this->begin_time;
+		if (this->status == STATUS_OK && took <= _traffic_classes[this->class_index].deadline) {
+			this->run.good_answers[this->class_index]++;
+		} else if (this->status != STATUS_OK && this->status != STATUS_ERROR) {
 			this->run.refusals++;
 			this->run.refusal_ms += static_cast<double>(took.Value());
 		}
@@ -186,18 +191,19 @@
 	void Abort() override {}
 	[[nodiscard]] bool Congested() const override { return false; }
 
-	OverloadRun &run; ///< The run.
-	size_t kind;      ///< Its class.
-	Millis began;     ///< When it called.
-	int status = 0;   ///< Status of the answer.
+	OverloadSimulation &run; ///< The run.
+	size_t class_index;      ///< Its class.
+	Millis begin_time;       ///< When it called.
+	int status = 0;          ///< Status of the answer.
 };
 
 /** A call to an endpoint. */
-class BenchCall : public EndpointCall {
+class SimulatedCall : public EndpointCall {
 public:
-	BenchCall(OverloadRun &run, size_t endpoint, CallEvents &events) : state(std::make_shared<CallEvents *>(&events))
+	SimulatedCall(OverloadSimulation &run, size_t endpoint, CallEvents &events)
+			: state(std::make_shared<CallEvents *>(&events))
 	{
-		const bool refuses = run.RackLost() && endpoint >= RACK_FIRST && endpoint <= RACK_LAST;
+		const bool refuses = run.RackLost() && endpoint >= LOST_RACK_FIRST && endpoint <= LOST_RACK_LAST;
 		if (refuses) {
 			run.clock.After(Millis(1), [it = this->state] {
 				if (*it != nullptr) {
@@ -206,20 +212,20 @@
 			});
 			return;
 		}
-		run.calls++;
-		Millis work = Millis(1) + run.dice.Around(WORK);
-		if (endpoint == SLOW) {
+		run.endpoint_calls++;
+		Millis work = Millis(1) + run.rng.ExponentialSpan(SERVICE_TIME_MEAN);
+		if (endpoint == SLOW_ENDPOINT) {
 			work = Millis(work.Value() * SLOW_FACTOR);
 		}
-		if (endpoint == FAILING) {
-			work = FAST_FAILURE;
+		if (endpoint == FAILING_ENDPOINT) {
+			work = FAILURE_TIME;
 		}
 		run.clock.After(work, [it = this->state, endpoint] {
 			if (*it == nullptr) {
 				return;
 			}
 			ResponseHead head;
-			head.status = endpoint == FAILING ? STATUS_ERROR : STATUS_GOOD;
+			head.status = endpoint == FAILING_ENDPOINT ? STATUS_ERROR : STATUS_OK;
 			head.length = 0;
 			(*it)->OnResponseHead(head);
 			if (*it != nullptr) {
@@ -228,7 +234,7 @@
 		});
 	}
 
-	~BenchCall() override { *this->state = nullptr; }
+	~SimulatedCall() override { *this->state = nullptr; }
 	void SetPaused(bool) override {}
 	void Abandon() override { *this->state = nullptr; }
 
@@ -236,34 +242,38 @@
 	std::shared_ptr<CallEvents *> state; ///< Who hears, null for nobody.
 };
 
-std::unique_ptr<EndpointCall> OverloadRun::Start(const std::string &address, const CallerRequest &, CallEvents &events)
+std::unique_ptr<EndpointCall> OverloadSimulation::Start(const std::string &address, const CallerRequest &,
+														CallEvents &events)
 {
-	return std::make_unique<BenchCall>(*this, std::stoul(address), events);
+	return std::make_unique<SimulatedCall>(*this, std::stoul(address), events);
 }
 
-void OverloadRun::Arrive()
+void OverloadSimulation::SubmitRequests()
 {
-	if (this->over) {
+	if (this->finished) {
 		return;
 	}
-	const double per_ms = LOAD * ENDPOINTS * SLOTS / static_cast<double>(WORK.Value());
+	const double per_ms = LOAD_FACTOR * ENDPOINTS * SLOTS / static_cast<double>(SERVICE_TIME_MEAN.Value());
 	const auto whole = static_cast<uint64_t>(per_ms);
 	const uint64_t extra =
-			this->dice.Below(1000) < static_cast<uint64_t>((per_ms - static_cast<double>(whole)) * 1000) ? 1 : 0;
+			this->rng.UniformBelow(1000) < static_cast<uint64_t>((per_ms - static_cast<double>(whole)) * 1000) ? 1 : 0;
 	for (uint64_t i = 0; i < whole + extra; i++) {
-		const uint64_t roll = this->dice.Below(100);
-		const size_t kind = roll < _traffic[0].percent ? 0 : roll < _traffic[0].percent + _traffic[1].percent ? 1 : 2;
-		this->sent[kind]++;
+		const uint64_t roll = this->rng.UniformBelow(100);
+		const size_t class_index = roll < _traffic_classes[0].percent                                 ? 0
+								   : roll < _traffic_classes[0].percent + _traffic_classes[1].percent ? 1
+																									  : 2;
+		this->sent_requests[class_index]++;
 		CallerRequest request;
 		request.method = "GET";
-		request.target = std::string("/") + _traffic[kind].service;
-		request.headers.Add(std::string(HEADER_DEADLINE), std::to_string(_traffic[kind].deadline.Value()));
-		auto caller = std::make_shared<BenchCaller>(*this, kind);
+		request.target = std::string("/") + _traffic_classes[class_index].service;
+		request.headers.Add(std::string(HEADER_DEADLINE),
+							std::to_string(_traffic_classes[class_index].deadline.Value()));
+		auto caller = std::make_shared<SimulatedCaller>(*this, class_index);
 		auto exchange = std::make_shared<Exchange>(this->clock, this->path, *this, *caller, std::move(request));
 		exchange->Start();
 		this->clock.After(Millis(65000), [caller, exchange] {});
 	}
-	this->clock.After(Millis(1), [this] { this->Arrive(); });
+	this->clock.After(Millis(1), [this] { this->SubmitRequests(); });
 }
 
 } // namespace
@@ -271,17 +281,17 @@
 int RunOverloadBench(const BenchOptions &options)
 {
 	const Millis span = options.quick ? Millis(2000) : Millis(8000);
-	const std::vector<Handling> handlings = Handlings();
+	const std::vector<OverloadPolicy> policies = OverloadPolicies();
 	std::vector<OverloadResult> results;
-	results.reserve(handlings.size());
-	for (const Handling &it : handlings) {
-		results.push_back(OverloadRun(it, options.seed, span).Run());
+	results.reserve(policies.size());
+	for (const OverloadPolicy &it : policies) {
+		results.push_back(OverloadSimulation(it, options.seed, span).Run());
 	}
-	for (size_t i = 0; i < handlings.size(); i++) {
-		const std::string suffix = i == 0 ? "" : std::string(".") + handlings[i].name;
-		const auto print = [&](const char *figure, double ours, double value, const char *unit) {
-			PrintFigure({"overload", "3x", figure + suffix, value, unit, i == 0 ? "" : handlings[i].name,
-						 i == 0 || value == 0 ? 0 : ours / value, options.seed});
+	for (size_t i = 0; i < policies.size(); i++) {
+		const std::string suffix = i == 0 ? "" : std::string(".") + policies[i].name;
+		const auto print = [&](const char *figure, double reference, double value, const char *unit) {
+			PrintFigure({"overload", "3x", figure + suffix, value, unit, i == 0 ? "" : policies[i].name,
+						 i == 0 || value == 0 ? 0 : reference / value, options.seed});
 		};
 		print("urgent_on_time", results[0].urgent_on_time, results[i].urgent_on_time, "share");
 		print("goodput", results[0].goodput, results[i].goodput, "of what the slots allow");
--- a/src/bench/proxy_bench.cpp
+++ b/src/bench/proxy_bench.cpp
@@ -24,10 +24,10 @@
 constexpr double NS_PER_SECOND = 1e9;  ///< Nanoseconds in a second.
 constexpr int IDLE_CONNECTIONS = 1000; ///< Connections whose memory is measured.
 constexpr int PACED_CONNECTIONS = 64;  ///< Connections of the measurement at half load.
-constexpr int HALF = 2;                ///< Half load.
+constexpr int HALF_LOAD_DIVISOR = 2;   ///< Half load.
 
 /** CPU time of the calling thread in seconds. */
-double ThreadSeconds()
+double ThreadCpuSeconds()
 {
 	timespec now{};
 	clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
@@ -44,7 +44,7 @@
 }
 
 /** Answers every request at once. */
-class EchoHandler : public RequestHandler {
+class FixedResponseHandler : public RequestHandler {
 public:
 	std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest) override
 	{
@@ -59,15 +59,15 @@
 };
 
 /** A thread with an event loop. */
-class LoopThread {
+class EventLoopThread {
 public:
-	LoopThread()
+	EventLoopThread()
 	{
 		this->thread.start();
-		this->anchor.moveToThread(&this->thread);
+		this->context.moveToThread(&this->thread);
 	}
 
-	~LoopThread()
+	~EventLoopThread()
 	{
 		this->thread.quit();
 		this->thread.wait();
@@ -75,18 +75,18 @@
 
 	void Run(const std::function<void()> &run)
 	{
-		QMetaObject::invokeMethod(&this->anchor, run, Qt::BlockingQueuedConnection);
+		QMetaObject::invokeMethod(&this->context, run, Qt::BlockingQueuedConnection);
 	}
 
 private:
-	QThread thread; ///< The thread.
-	QObject anchor; ///< Lives on it.
+	QThread thread;  ///< The thread.
+	QObject context; ///< Lives on it.
 };
 
 /** The endpoint: one listener on a thread of its own. */
-class EchoEndpoint {
+class FixedResponseEndpoint {
 public:
-	EchoEndpoint()
+	FixedResponseEndpoint()
 	{
 		this->loop.Run([this] {
 			this->scheduler = std::make_unique<QtScheduler>();
@@ -99,7 +99,7 @@
 		});
 	}
 
-	~EchoEndpoint()
+	~FixedResponseEndpoint()
 	{
 		this->loop.Run([this] {
 			this->listener.reset();
@@ -113,9 +113,9 @@
 	[[nodiscard]] quint16 Port() const { return this->port; }
 
 private:
-	LoopThread loop;                          ///< Its thread.
+	EventLoopThread loop;                     ///< Its thread.
 	std::unique_ptr<QtScheduler> scheduler;   ///< Clock and timers.
-	EchoHandler handler;                      ///< Answers.
+	FixedResponseHandler handler;             ///< Answers.
 	CallerLimits limits;                      ///< Limits.
 	std::atomic<int> open{0};                 ///< Connections.
 	std::unique_ptr<CallerListener> listener; ///< The listener.
@@ -124,9 +124,9 @@
 };
 
 /** The entry's request path with one lane. */
-class BenchEntry {
+class EntryUnderTest {
 public:
-	explicit BenchEntry(quint16 endpoint)
+	explicit EntryUnderTest(quint16 endpoint)
 			: path(EntryIdentity{MemberName("entry"), ZoneName("z"), Incarnation(1)}, GateSettings{}, LeaseTimes{},
 				   KeyLimits{}, RequestSettings{}, this->credentials),
 			  lane(this->path, CallerLimits{}, CallerLimits{}, DialLimits{Millis(1000), Millis(4000), 600}),
@@ -146,7 +146,7 @@
 	double CpuSeconds()
 	{
 		double seconds = 0;
-		this->lane.RunOnThread([&] { seconds = ThreadSeconds(); });
+		this->lane.RunOnThread([&] { seconds = ThreadCpuSeconds(); });
 		return seconds;
 	}
 
@@ -180,25 +180,25 @@
 			return;
 		}
 		this->reader = std::make_unique<ResponseReader>(false);
-		this->began = Clock::now();
+		this->request_begin = Clock::now();
 		this->socket.write(this->bytes.data(), static_cast<qint64>(this->bytes.size()));
 	}
 
 	[[nodiscard]] bool Busy() const { return this->reader != nullptr; }
 
-	void OnHead(ResponseHead head) override { this->good = head.status == STATUS_OK; }
+	void OnHead(ResponseHead head) override { this->status_ok = head.status == STATUS_OK; }
 	void OnBody(std::string_view) override {}
 
-	bool again = true;     ///< Whether the next request follows at once.
-	uint64_t failures = 0; ///< Answers that were no 200.
+	bool continuous = true; ///< Whether the next request follows at once.
+	uint64_t failures = 0;  ///< Answers that were no 200.
 
 private:
 	QTcpSocket socket;                      ///< The connection.
 	std::string bytes;                      ///< The request.
 	std::vector<double> &latencies;         ///< Takes latencies in microseconds.
 	std::unique_ptr<ResponseReader> reader; ///< Reads the answer under way.
-	Clock::time_point began;                ///< When the request was sent.
-	bool good = false;                      ///< Whether the answer is a 200.
+	Clock::time_point request_begin;        ///< When the request was sent.
+	bool status_ok = false;                 ///< Whether the answer is a 200.
 
 	void OnReadable()
 	{
@@ -210,10 +210,11 @@
 		if (!this->reader->Done()) {
 			return;
 		}
-		this->latencies.push_back(std::chrono::duration<double, std::micro>(Clock::now() - this->began).count());
-		this->failures += this->good ? 0 : 1;
+		this->latencies.push_back(
+				std::chrono::duration<double, std::micro>(Clock::now() - this->request_begin).count());
+		this->failures += this->status_ok ? 0 : 1;
 		this->reader.reset();
-		if (this->again) {
+		if (this->continuous) {
 			this->Send();
 		}
 	}
@@ -237,7 +238,7 @@
 /** Loads a port; `rate` 0 sends as fast as answers come. */
 LoadResult RunLoad(quint16 port, int connections, double rate, std::chrono::milliseconds span)
 {
-	LoopThread loop;
+	EventLoopThread loop;
 	std::vector<double> latencies;
 	latencies.reserve(1000000);
 	std::vector<std::unique_ptr<LoadConnection>> all;
@@ -246,7 +247,7 @@
 	loop.Run([&] {
 		for (int i = 0; i < connections; i++) {
 			all.push_back(std::make_unique<LoadConnection>(port, latencies));
-			all.back()->again = rate == 0;
+			all.back()->continuous = rate == 0;
 		}
 		if (rate == 0) {
 			std::ranges::for_each(all, [](const auto &it) { it->Send(); });
@@ -281,9 +282,9 @@
 }
 
 /** Memory that a thousand idle connections of callers take, both ends being in this process. */
-double IdleBytes(quint16 port)
+double IdleConnectionBytes(quint16 port)
 {
-	LoopThread loop;
+	EventLoopThread loop;
 	std::vector<std::unique_ptr<QTcpSocket>> all;
 	const double before = ResidentBytes();
 	loop.Run([&] {
@@ -304,38 +305,39 @@
 int RunProxyBench(const BenchOptions &options)
 {
 	const std::chrono::milliseconds span(options.quick ? 200 : 2000);
-	EchoEndpoint endpoint;
+	FixedResponseEndpoint endpoint;
 	/* The listener of the entry lives here, so the load runs while this thread turns its event loop. */
-	LoopThread entry_loop;
-	std::unique_ptr<BenchEntry> entry;
-	entry_loop.Run([&] { entry = std::make_unique<BenchEntry>(endpoint.Port()); });
+	EventLoopThread entry_loop;
+	std::unique_ptr<EntryUnderTest> entry;
+	entry_loop.Run([&] { entry = std::make_unique<EntryUnderTest>(endpoint.Port()); });
 	uint64_t failures = 0;
-	double at_64 = 0;
+	double full_rate = 0;
 	for (const int connections : {1, 8, PACED_CONNECTIONS, 512}) {
 		const std::string name = std::to_string(connections) + "_connections";
 		const LoadResult direct = RunLoad(endpoint.Port(), connections, 0, span);
-		const double cpu = entry->CpuSeconds();
-		const LoadResult through = RunLoad(entry->Port(), connections, 0, span);
-		const double used = entry->CpuSeconds() - cpu;
-		const double requests = through.per_second * std::chrono::duration<double>(span).count();
-		failures += through.failures;
-		at_64 = connections == PACED_CONNECTIONS ? through.per_second : at_64;
-		PrintFigure({"proxy", name, "requests_a_second_a_core", requests / std::max(used, 1e-9), "1/s", "", 0,
+		const double cpu_before = entry->CpuSeconds();
+		const LoadResult proxied = RunLoad(entry->Port(), connections, 0, span);
+		const double cpu_used = entry->CpuSeconds() - cpu_before;
+		const double requests = proxied.per_second * std::chrono::duration<double>(span).count();
+		failures += proxied.failures;
+		full_rate = connections == PACED_CONNECTIONS ? proxied.per_second : full_rate;
+		PrintFigure({"proxy", name, "requests_a_second_a_core", requests / std::max(cpu_used, 1e-9), "1/s", "", 0,
 					 options.seed});
-		PrintFigure({"proxy", name, "requests_a_second", through.per_second, "1/s", "direct",
-					 through.per_second / direct.per_second, options.seed});
-		PrintFigure({"proxy", name, "p50", through.p50, "us", "direct", through.p50 / direct.p50, options.seed});
-		PrintFigure({"proxy", name, "p99", through.p99, "us", "direct", through.p99 / direct.p99, options.seed});
+		PrintFigure({"proxy", name, "requests_a_second", proxied.per_second, "1/s", "direct",
+					 proxied.per_second / direct.per_second, options.seed});
+		PrintFigure({"proxy", name, "p50", proxied.p50, "us", "direct", proxied.p50 / direct.p50, options.seed});
+		PrintFigure({"proxy", name, "p99", proxied.p99, "us", "direct", proxied.p99 / direct.p99, options.seed});
 	}
-	const LoadResult direct = RunLoad(endpoint.Port(), PACED_CONNECTIONS, at_64 / HALF, span);
-	const LoadResult through = RunLoad(entry->Port(), PACED_CONNECTIONS, at_64 / HALF, span);
-	failures += through.failures;
-	PrintFigure({"proxy", "half_load", "added_p50", through.p50 - direct.p50, "us", "direct", through.p50 / direct.p50,
+	const LoadResult direct = RunLoad(endpoint.Port(), PACED_CONNECTIONS, full_rate / HALF_LOAD_DIVISOR, span);
+	const LoadResult proxied = RunLoad(entry->Port(), PACED_CONNECTIONS, full_rate / HALF_LOAD_DIVISOR, span);
+	failures += proxied.failures;
+	PrintFigure({"proxy", "half_load", "added_p50", proxied.p50 - direct.p50, "us", "direct", proxied.p50 / direct.p50,
+				 options.seed});
+	PrintFigure({"proxy", "half_load", "added_p99", proxied.p99 - direct.p99, "us", "direct", proxied.p99 / direct.p99,
 				 options.seed});
-	PrintFigure({"proxy", "half_load", "added_p99", through.p99 - direct.p99, "us", "direct", through.p99 / direct.p99,
+	PrintFigure({"proxy", "half_load", "requests_a_second", proxied.per_second, "1/s", "", 0, options.seed});
+	PrintFigure({"proxy", "idle", "bytes_per_1000_connections", IdleConnectionBytes(entry->Port()), "B", "", 0,
 				 options.seed});
-	PrintFigure({"proxy", "half_load", "requests_a_second", through.per_second, "1/s", "", 0, options.seed});
-	PrintFigure({"proxy", "idle", "bytes_per_1000_connections", IdleBytes(entry->Port()), "B", "", 0, options.seed});
 	PrintFigure({"proxy", "all", "failures", static_cast<double>(failures), "requests", "", 0, options.seed});
 	entry_loop.Run([&] { entry.reset(); });
 	return failures == 0 ? 0 : 1;
--- a/src/bench/slots_bench.cpp
+++ b/src/bench/slots_bench.cpp
@@ -1,6 +1,6 @@
 /** @file slots_bench.cpp Shares of 8 slots among 2, 3 and 9 entries under skew, against one omniscient queue. */
 #include "bench_output.h"
-#include "fleet_world.h"
+#include "simulated_fleet.h"
 
 #include "../request/slot_broker.h"
 #include "../standin/memory/node_scheduler.h"
@@ -10,37 +10,37 @@
 
 namespace {
 
-constexpr uint32_t ENDPOINTS = 10; ///< Endpoints of the pool.
-constexpr uint32_t SLOTS = 8;      ///< Slots of each.
-constexpr Millis WORK(40);         ///< Mean time of a request.
-constexpr Millis LATENCY(1);       ///< Time of a message between entries.
-constexpr Millis TICK(20);         ///< Tick of brokers.
-constexpr Millis SHIFT(2000);      ///< Time after which the load shifts to other entries.
-constexpr Millis DEADLINE(60000);  ///< Requests wait as long as they must: capacity is what is measured.
-constexpr size_t QUEUE(512);       ///< Longest queue of an entry.
+constexpr uint32_t ENDPOINTS = 10;         ///< Endpoints of the pool.
+constexpr uint32_t SLOTS = 8;              ///< Slots of each.
+constexpr Millis SERVICE_TIME_MEAN(40);    ///< Mean time of a request.
+constexpr Millis MESSAGE_DELAY(1);         ///< Time of a message between entries.
+constexpr Millis BROKER_TICK(20);          ///< Tick of brokers.
+constexpr Millis HOT_ENTRY_INTERVAL(2000); ///< Time after which the load shifts to other entries.
+constexpr Millis DEADLINE(60000);          ///< Requests wait as long as they must: capacity is what is measured.
+constexpr size_t QUEUE_LIMIT(512);         ///< Longest queue of an entry.
 
 /** How entries share slots. */
-enum class Sharing : uint8_t {
-	SH_LENDING, ///< Shares that are lent.
-	SH_STATIC,  ///< Shares that stay.
-	SH_ONE,     ///< One queue that knows everything.
+enum class SlotSharing : uint8_t {
+	SH_LENDING,   ///< Shares that are lent.
+	SH_STATIC,    ///< Shares that stay.
+	SH_ONE_QUEUE, ///< One queue that knows everything.
 };
 
 /** Result of a run. */
 struct SlotsResult {
-	double use = 0;      ///< Share of the slots in use, mean.
-	double messages = 0; ///< Messages a second, of all entries.
-	uint64_t peak = 0;   ///< Most requests on one endpoint at once.
-	double wait_ms = 0;  ///< Mean wait for a slot.
+	double used_share = 0;      ///< Share of the slots in use, mean.
+	double messages = 0;        ///< Messages a second, of all entries.
+	uint64_t peak_requests = 0; ///< Most requests on one endpoint at once.
+	double wait_ms = 0;         ///< Mean wait for a slot.
 };
 
 /** Entries that share endpoints. */
-class SlotsRun : public SlotTransport {
+class SlotSharingSimulation : public SlotTransport {
 public:
-	SlotsRun(uint32_t entries, Sharing sharing, uint64_t seed) : sharing(sharing), dice(seed)
+	SlotSharingSimulation(uint32_t entries, SlotSharing sharing, uint64_t seed) : sharing(sharing), rng(seed)
 	{
-		const uint32_t count = sharing == Sharing::SH_ONE ? 1 : entries;
-		this->load_entries = entries;
+		const uint32_t count = sharing == SlotSharing::SH_ONE_QUEUE ? 1 : entries;
+		this->caller_entries = entries;
 		for (uint32_t i = 0; i < count; i++) {
 			this->Add(i);
 		}
@@ -52,16 +52,16 @@
 		this->clock.RunUntil(Millis(10000)); /* Until shares have settled. */
 		this->begin = this->clock.Now();
 		this->Tick();
-		this->Shift();
-		this->Arrive(load);
+		this->MoveHotEntry();
+		this->SubmitRequests(load);
 		this->clock.RunUntil(this->begin + span);
 		SlotsResult result;
 		const double seconds = static_cast<double>(span.Value()) / MS_PER_SECOND;
-		result.use = this->busy_ms / (static_cast<double>(span.Value()) * ENDPOINTS * SLOTS);
+		result.used_share = this->busy_ms / (static_cast<double>(span.Value()) * ENDPOINTS * SLOTS);
 		for (const auto &it : this->nodes) {
 			result.messages += static_cast<double>(it->broker->Counters().messages) / seconds;
 		}
-		result.peak = this->peak;
+		result.peak_requests = this->peak_requests;
 		result.wait_ms = this->waits == 0 ? 0 : this->wait_sum / static_cast<double>(this->waits);
 		return result;
 	}
@@ -69,7 +69,7 @@
 	bool Send(const Peer &to, const glade::wire::MessageUnion &message) override
 	{
 		const auto copy = std::make_shared<glade::wire::MessageUnion>(message);
-		this->clock.After(LATENCY, [this, to, copy] {
+		this->clock.After(MESSAGE_DELAY, [this, to, copy] {
 			for (const auto &it : this->nodes) {
 				if (it->name == to.name) {
 					it->broker->OnMessage(*copy);
@@ -87,14 +87,14 @@
 		std::unique_ptr<SlotBroker> broker; ///< Lends and borrows.
 	};
 
-	Sharing sharing;                          ///< How slots are shared.
-	Dice dice;                                ///< Random numbers.
+	SlotSharing sharing;                      ///< How slots are shared.
+	RandomSource rng;                         ///< Random numbers.
 	VirtualScheduler clock;                   ///< The clock.
 	std::vector<std::unique_ptr<Node>> nodes; ///< Entries.
-	uint32_t load_entries = 1;                ///< Entries that callers know.
-	uint32_t hot = 0;                         ///< Entry that gets most of the load.
+	uint32_t caller_entries = 1;              ///< Entries that callers know.
+	uint32_t hot_entry = 0;                   ///< Entry that gets most of the load.
 	std::map<BoxName, uint64_t> running;      ///< Requests per endpoint.
-	uint64_t peak = 0;                        ///< Most on one endpoint.
+	uint64_t peak_requests = 0;               ///< Most on one endpoint.
 	double busy_ms = 0;                       ///< Slot time used.
 	double wait_sum = 0;                      ///< Waits.
 	uint64_t waits = 0;                       ///< Number of them.
@@ -105,7 +105,7 @@
 		auto node = std::make_unique<Node>();
 		node->name = MemberName("entry-" + std::to_string(i));
 		GateSettings gates;
-		gates.queue_limit = QUEUE;
+		gates.queue_limit = QUEUE_LIMIT;
 		node->routes = std::make_unique<RouteTable>(EntryIdentity{node->name, ZoneName("z"), Incarnation(1)}, gates,
 													LeaseTimes{});
 		node->broker = std::make_unique<SlotBroker>(this->clock, *node->routes, node->name, *this, Millis(30000));
@@ -131,57 +131,61 @@
 	{
 		for (const auto &it : this->nodes) {
 			it->routes->Gates().begin()->second->Tick(this->clock.Now());
-			if (this->sharing == Sharing::SH_LENDING) {
+			if (this->sharing == SlotSharing::SH_LENDING) {
 				it->broker->Tick();
 			}
 		}
-		this->clock.After(TICK, [this] { this->Tick(); });
+		this->clock.After(BROKER_TICK, [this] { this->Tick(); });
 	}
 
-	void Shift()
+	void MoveHotEntry()
 	{
-		this->hot = (this->hot + 1) % this->load_entries;
-		this->clock.After(SHIFT, [this] { this->Shift(); });
+		this->hot_entry = (this->hot_entry + 1) % this->caller_entries;
+		this->clock.After(HOT_ENTRY_INTERVAL, [this] { this->MoveHotEntry(); });
 	}
 
-	void Arrive(double load)
+	void SubmitRequests(double load)
 	{
 		/* `load` of all slots, as arrivals: four fifths to the hot entry. */
-		const double per_ms = load * ENDPOINTS * SLOTS / static_cast<double>(WORK.Value());
+		const double per_ms = load * ENDPOINTS * SLOTS / static_cast<double>(SERVICE_TIME_MEAN.Value());
 		const auto whole = static_cast<uint64_t>(per_ms);
 		const uint64_t extra =
-				this->dice.Below(1000) < static_cast<uint64_t>((per_ms - static_cast<double>(whole)) * 1000) ? 1 : 0;
+				this->rng.UniformBelow(1000) < static_cast<uint64_t>((per_ms - static_cast<double>(whole)) * 1000) ? 1
+																												   : 0;
 		for (uint64_t i = 0; i < whole + extra; i++) {
-			const uint64_t entry = this->dice.Below(10) < 8 ? this->hot : this->dice.Below(this->load_entries);
-			this->Request(*this->nodes[entry % this->nodes.size()]);
+			const uint64_t entry =
+					this->rng.UniformBelow(10) < 8 ? this->hot_entry : this->rng.UniformBelow(this->caller_entries);
+			this->SendRequest(*this->nodes[entry % this->nodes.size()]);
 		}
-		this->clock.After(Millis(1), [this, load] { this->Arrive(load); });
+		this->clock.After(Millis(1), [this, load] { this->SubmitRequests(load); });
 	}
 
-	void Request(Node &node)
+	void SendRequest(Node &node)
 	{
 		const auto gate = node.routes->Gates().begin()->second;
-		const Millis asked = this->clock.Now();
-		SlotRequest ask;
-		ask.service = ServiceName("s");
-		ask.deadline = asked + DEADLINE;
-		ask.done = [this, gate, asked](const GateDecision &answer) { this->OnAnswer(gate, asked, answer); };
+		const Millis requested_at = this->clock.Now();
+		SlotRequest request;
+		request.service = ServiceName("s");
+		request.deadline = requested_at + DEADLINE;
+		request.done = [this, gate, requested_at](const GateDecision &decision) {
+			this->OnDecision(gate, requested_at, decision);
+		};
 		SlotRequestId id;
-		if (const auto now = gate->RequestSlot(std::move(ask), asked, id); now) {
-			this->OnAnswer(gate, asked, *now);
+		if (const auto now = gate->RequestSlot(std::move(request), requested_at, id); now) {
+			this->OnDecision(gate, requested_at, *now);
 		}
 	}
 
-	void OnAnswer(const std::shared_ptr<PoolGate> &gate, Millis asked, const GateDecision &answer)
+	void OnDecision(const std::shared_ptr<PoolGate> &gate, Millis requested_at, const GateDecision &decision)
 	{
-		if (answer.code != ResultCode::RC_OK) {
+		if (decision.code != ResultCode::RC_OK) {
 			return;
 		}
-		this->wait_sum += static_cast<double>((this->clock.Now() - asked).Value());
+		this->wait_sum += static_cast<double>((this->clock.Now() - requested_at).Value());
 		this->waits++;
-		const Millis work = Millis(1) + this->dice.Around(WORK);
-		this->peak = std::max(this->peak, ++this->running[answer.grant.box]);
-		this->clock.After(work, [this, gate, work, box = answer.grant.box] {
+		const Millis work = Millis(1) + this->rng.ExponentialSpan(SERVICE_TIME_MEAN);
+		this->peak_requests = std::max(this->peak_requests, ++this->running[decision.grant.box]);
+		this->clock.After(work, [this, gate, work, box = decision.grant.box] {
 			this->busy_ms += static_cast<double>(work.Value());
 			this->running[box]--;
 			gate->Release(box, ServiceName("s"), CallOutcome::CO_SUCCESS, work, this->clock.Now());
@@ -197,23 +201,34 @@
 	int failed = 0;
 	for (const uint32_t entries : {2U, 3U, 9U}) {
 		const std::string name = std::to_string(entries) + "_entries";
-		const SlotsResult one = SlotsRun(entries, Sharing::SH_ONE, options.seed).Run(span, 1.5);
-		const SlotsResult ours = SlotsRun(entries, Sharing::SH_LENDING, options.seed).Run(span, 1.5);
-		const SlotsResult fixed = SlotsRun(entries, Sharing::SH_STATIC, options.seed).Run(span, 1.5);
-		PrintFigure({"slots", name, "use", ours.use, "share of slots", "one_queue", ours.use / one.use, options.seed});
-		PrintFigure({"slots", name, "use.static_shares", fixed.use, "share of slots", "one_queue", fixed.use / one.use,
+		const SlotsResult one_queue =
+				SlotSharingSimulation(entries, SlotSharing::SH_ONE_QUEUE, options.seed).Run(span, 1.5);
+		const SlotsResult lending =
+				SlotSharingSimulation(entries, SlotSharing::SH_LENDING, options.seed).Run(span, 1.5);
+		const SlotsResult static_shares =
+				SlotSharingSimulation(entries, SlotSharing::SH_STATIC, options.seed).Run(span, 1.5);
+		PrintFigure({"slots", name, "use", lending.used_share, "share of slots", "one_queue",
+					 lending.used_share / one_queue.used_share, options.seed});
+		PrintFigure({"slots", name, "use.static_shares", static_shares.used_share, "share of slots", "one_queue",
+					 static_shares.used_share / one_queue.used_share, options.seed});
+		PrintFigure({"slots", name, "messages", lending.messages, "1/s", "", 0, options.seed});
+		PrintFigure({"slots", name, "peak_on_one_endpoint", static_cast<double>(lending.peak_requests), "requests",
+					 "slots", static_cast<double>(lending.peak_requests) / SLOTS, options.seed});
+		const SlotsResult one_queue_at_60_percent =
+				SlotSharingSimulation(entries, SlotSharing::SH_ONE_QUEUE, options.seed).Run(span, 0.6);
+		const SlotsResult lending_at_60_percent =
+				SlotSharingSimulation(entries, SlotSharing::SH_LENDING, options.seed).Run(span, 0.6);
+		const SlotsResult static_shares_at_60_percent =
+				SlotSharingSimulation(entries, SlotSharing::SH_STATIC, options.seed).Run(span, 0.6);
+		PrintFigure(
+				{"slots", name, "wait_at_0.6_load", lending_at_60_percent.wait_ms, "ms", "one_queue", 0, options.seed});
+		PrintFigure({"slots", name, "wait_at_0.6_load.one_queue", one_queue_at_60_percent.wait_ms, "ms", "", 0,
 					 options.seed});
-		PrintFigure({"slots", name, "messages", ours.messages, "1/s", "", 0, options.seed});
-		PrintFigure({"slots", name, "peak_on_one_endpoint", static_cast<double>(ours.peak), "requests", "slots",
-					 static_cast<double>(ours.peak) / SLOTS, options.seed});
-		const SlotsResult one_half = SlotsRun(entries, Sharing::SH_ONE, options.seed).Run(span, 0.6);
-		const SlotsResult half = SlotsRun(entries, Sharing::SH_LENDING, options.seed).Run(span, 0.6);
-		const SlotsResult fixed_half = SlotsRun(entries, Sharing::SH_STATIC, options.seed).Run(span, 0.6);
-		PrintFigure({"slots", name, "wait_at_0.6_load", half.wait_ms, "ms", "one_queue", 0, options.seed});
-		PrintFigure({"slots", name, "wait_at_0.6_load.one_queue", one_half.wait_ms, "ms", "", 0, options.seed});
-		PrintFigure({"slots", name, "wait_at_0.6_load.static_shares", fixed_half.wait_ms, "ms", "", 0, options.seed});
-		PrintFigure({"slots", name, "messages_at_0.6_load", half.messages, "1/s", "", 0, options.seed});
-		failed += ours.peak > SLOTS ? 1 : 0;
+		PrintFigure({"slots", name, "wait_at_0.6_load.static_shares", static_shares_at_60_percent.wait_ms, "ms", "", 0,
+					 options.seed});
+		PrintFigure(
+				{"slots", name, "messages_at_0.6_load", lending_at_60_percent.messages, "1/s", "", 0, options.seed});
+		failed += lending.peak_requests > SLOTS ? 1 : 0;
 	}
 	return failed;
 }
--- a/src/bench/strategy.cpp
+++ b/src/bench/strategy.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 /** Our planner. */
-class Ours : public Strategy {
+class FleetPlanner : public Strategy {
 public:
-	explicit Ours(const PlannerPolicy &weights) { this->policy = weights; }
+	explicit FleetPlanner(const PlannerPolicy &weights) { this->policy = weights; }
 	[[nodiscard]] const char *Name() const override { return "glademount"; }
 	std::vector<Proposal> Step(const FleetState &fleet, const PlannerInputs &inputs) override
 	{
@@ -23,24 +23,24 @@
 	{
 		std::vector<Proposal> proposals = this->Register(fleet, inputs);
 		PoolDraft draft = PoolModelsOf(fleet);
-		const auto take = [&](std::vector<Proposal> more) { std::ranges::move(more, std::back_inserter(proposals)); };
-		take(PlanSteps(fleet, inputs));
-		take(PlanDrains(fleet, nullptr, inputs));
-		take(this->Rebalance(draft));
-		take(this->Maintain(fleet, draft));
+		const auto append = [&](std::vector<Proposal> more) { std::ranges::move(more, std::back_inserter(proposals)); };
+		append(PlanSteps(fleet, inputs));
+		append(PlanDrains(fleet, nullptr, inputs));
+		append(this->Rebalance(draft));
+		append(this->GrantMaintenance(fleet, draft));
 		return proposals;
 	}
 
 protected:
-	size_t most_at_once = SIZE_MAX; ///< Boxes of the fleet that may be down by plan at once.
+	size_t max_planned_down = SIZE_MAX; ///< Boxes of the fleet that may be down by plan at once.
 
 	/** Chooses the pool of a box that is new. */
-	virtual PoolName Choose(PoolDraft &draft) = 0;
+	virtual PoolName ChoosePool(PoolDraft &draft) = 0;
 
 	/** Moves boxes between pools. */
 	virtual std::vector<Proposal> Rebalance(PoolDraft &draft) = 0;
 
-	static size_t Moving(const PoolDraft &draft)
+	static size_t CountMoving(const PoolDraft &draft)
 	{
 		size_t n = 0;
 		for (const auto &[name, pool] : draft) {
@@ -60,7 +60,7 @@
 			if (record == nullptr || fleet.boxes.contains(BoxName(record->box))) {
 				continue;
 			}
-			const PoolName pool = this->Choose(draft);
+			const PoolName pool = this->ChoosePool(draft);
 			record->pool = pool.Value();
 			Box box;
 			box.name = BoxName(record->box);
@@ -73,7 +73,7 @@
 		return proposals;
 	}
 
-	std::vector<Proposal> Maintain(const FleetState &fleet, PoolDraft &draft) const
+	std::vector<Proposal> GrantMaintenance(const FleetState &fleet, PoolDraft &draft) const
 	{
 		std::vector<Proposal> proposals;
 		size_t active = 0;
@@ -85,7 +85,7 @@
 				const bool due = box.last_maintained == Millis(0) ||
 								 box.last_maintained + Millis(this->policy.cycle.Value() / 2) < fleet.time;
 				const bool free = box.state == BoxState::BS_SERVING && box.purpose == PermitPurpose::PP_NONE;
-				if (!due || !free || active >= this->most_at_once) {
+				if (!due || !free || active >= this->max_planned_down) {
 					continue;
 				}
 				if (!TakesWork(box) || CheckBudget(pool, box, false).Ok()) {
@@ -104,7 +104,7 @@
 	[[nodiscard]] const char *Name() const override { return "even_split"; }
 
 protected:
-	PoolName Choose(PoolDraft &draft) override
+	PoolName ChoosePool(PoolDraft &draft) override
 	{
 		return std::ranges::min_element(draft, {}, [](const auto &it) { return it.second.boxes.size(); })->first;
 	}
@@ -113,7 +113,7 @@
 	std::vector<Proposal> Rebalance(PoolDraft &draft) override
 	{
 		std::vector<Proposal> proposals;
-		if (Moving(draft) > 0) {
+		if (CountMoving(draft) > 0) {
 			return proposals;
 		}
 		for (auto &[name, pool] : draft) {
@@ -126,11 +126,11 @@
 			}
 			std::ranges::sort(donors, std::greater(), [](const PoolModel *it) { return it->boxes.size(); });
 			for (PoolModel *donor : donors) {
-				const auto can_go = [&](const Box &box) {
+				const auto can_move = [&](const Box &box) {
 					return TakesWork(box) && box.purpose == PermitPurpose::PP_NONE &&
 						   CheckBudget(*donor, box, false).Ok();
 				};
-				const auto box = std::ranges::find_if(donor->boxes, can_go);
+				const auto box = std::ranges::find_if(donor->boxes, can_move);
 				if (donor->name != name && box != donor->boxes.end()) {
 					proposals.push_back(GrantPermit(*box, PermitPurpose::PP_MOVE, name));
 					return proposals;
@@ -147,7 +147,7 @@
 	[[nodiscard]] const char *Name() const override { return "first_fit"; }
 
 protected:
-	PoolName Choose(PoolDraft &draft) override
+	PoolName ChoosePool(PoolDraft &draft) override
 	{
 		for (const auto &[name, pool] : draft) {
 			const PoolCapacity capacity = CapacityOf(pool);
@@ -156,22 +156,22 @@
 				return name;
 			}
 		}
-		return EvenSplit::Choose(draft);
+		return EvenSplit::ChoosePool(draft);
 	}
 };
 
 /** One box of the fleet at a time. */
 class OneAtATime : public EvenSplit {
 public:
-	OneAtATime() { this->most_at_once = 1; }
+	OneAtATime() { this->max_planned_down = 1; }
 	[[nodiscard]] const char *Name() const override { return "one_at_a_time"; }
 };
 
 } // namespace
 
-std::unique_ptr<Strategy> OurStrategy(const PlannerPolicy &policy)
+std::unique_ptr<Strategy> PlannerStrategy(const PlannerPolicy &policy)
 {
-	return std::make_unique<Ours>(policy);
+	return std::make_unique<FleetPlanner>(policy);
 }
 
 std::unique_ptr<Strategy> EvenSplitStrategy()
--- a/src/bench/strategy.h
+++ b/src/bench/strategy.h
@@ -30,7 +30,7 @@
 };
 
 /** @return Our planner with the weights of a deployment. */
-std::unique_ptr<Strategy> OurStrategy(const PlannerPolicy &policy);
+std::unique_ptr<Strategy> PlannerStrategy(const PlannerPolicy &policy);
 
 /** @return Even split: pools as equal as can be, one shared failure buffer a pool, all that budgets allow at once. */
 std::unique_ptr<Strategy> EvenSplitStrategy();
--- a/src/bench/synthetic_log.cpp
+++ b/src/bench/synthetic_log.cpp
@@ -3,31 +3,31 @@
 
 namespace {
 
-constexpr Millis START(1700000000000); ///< Log's clock at the first record.
-constexpr uint64_t JOBS_A_RECORD = 4;  ///< Jobs accepted in a record: group commit.
+constexpr Millis START_TIME(1700000000000); ///< Log's clock at the first record.
+constexpr uint64_t JOBS_PER_RECORD = 4;     ///< Jobs accepted in a record: group commit.
 
 /** Writes records. */
-class LogMaker {
+class SyntheticLogWriter {
 public:
-	LogMaker(const SyntheticSize &size, uint64_t seed) : size(size), dice(seed) {}
+	SyntheticLogWriter(const SyntheticSize &size, uint64_t seed) : size(size), rng(seed) {}
 
 	std::vector<LogRecord> Make(size_t records)
 	{
 		this->SetUp();
 		for (size_t i = 0; i < records; i++) {
-			this->Change();
+			this->AddRandomRecord();
 		}
 		return std::move(this->log);
 	}
 
 private:
-	SyntheticSize size;         ///< Sizes.
-	Dice dice;                  ///< Random numbers.
-	std::vector<LogRecord> log; ///< Records so far.
-	BatchT batch;               ///< Record being filled.
-	uint64_t sequence = 0;      ///< Last proposal.
-	uint64_t jobs = 0;          ///< Jobs accepted.
-	uint64_t ended = 0;         ///< Jobs ended.
+	SyntheticSize size;          ///< Sizes.
+	RandomSource rng;            ///< Random numbers.
+	std::vector<LogRecord> log;  ///< Records so far.
+	BatchT batch;                ///< Record being filled.
+	uint64_t sequence = 0;       ///< Last proposal.
+	uint64_t jobs = 0;           ///< Jobs accepted.
+	uint64_t cancelled_jobs = 0; ///< Jobs ended.
 
 	template <class T>
 	void Add(T change)
@@ -44,12 +44,12 @@
 		this->batch.incarnation = 1;
 		this->batch.region = "main";
 		this->batch.term = 1;
-		const Millis stamp = START + Millis(static_cast<int64_t>(this->log.size()) * 1000);
+		const Millis stamp = START_TIME + Millis(static_cast<int64_t>(this->log.size()) * 1000);
 		this->log.push_back(LogRecord{LogOffset(this->log.size() + 1), stamp, EncodeBatch(this->batch)});
 		this->batch = BatchT();
 	}
 
-	static std::string BoxName4(uint64_t n) { return "box-" + std::to_string(10000 + n).substr(1); }
+	static std::string BoxNameOf(uint64_t n) { return "box-" + std::to_string(10000 + n).substr(1); }
 
 	void SetUp()
 	{
@@ -60,10 +60,10 @@
 		glade::wire::TablePublishT table;
 		for (uint32_t i = 0; i < this->size.pools; i++) {
 			for (const auto &[column, value] :
-				 {std::pair{"pool", PoolOf(i)}, std::pair{"floor", std::string("8")},
+				 {std::pair{"pool", PoolNameOf(i)}, std::pair{"floor", std::string("8")},
 				  std::pair{"weight", std::string("3")}, std::pair{"guard", std::string("zone")}}) {
 				auto cell = std::make_unique<glade::wire::TableCellT>();
-				cell->service = ServiceOf(i);
+				cell->service = ServiceNameOf(i);
 				cell->column = column;
 				cell->value = value;
 				table.cells.push_back(std::move(cell));
@@ -99,15 +99,15 @@
 	{
 		for (uint32_t i = 0; i < this->size.boxes; i++) {
 			glade::wire::BoxRegisterT box;
-			box.box = BoxName4(i);
+			box.box = BoxNameOf(i);
 			box.zone = "zone-" + std::to_string(i % this->size.zones);
 			box.rack = "rack-" + std::to_string(i / 4);
 			box.address = "10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250) + ":80";
 			box.slots = 8;
-			box.pool = PoolOf(i % this->size.pools);
+			box.pool = PoolNameOf(i % this->size.pools);
 			this->Add(std::move(box));
 			glade::wire::BoxHealthReportT health;
-			health.box = BoxName4(i);
+			health.box = BoxNameOf(i);
 			health.epoch = 1;
 			health.health = static_cast<uint8_t>(BoxHealth::BH_UP);
 			this->Add(std::move(health));
@@ -115,49 +115,49 @@
 		this->Flush();
 	}
 
-	void Change()
+	void AddRandomRecord()
 	{
-		const uint64_t roll = this->dice.Below(10);
+		const uint64_t roll = this->rng.UniformBelow(10);
 		if (roll < 2) {
-			this->ChangeCell();
+			this->AddCellChange();
 		} else if (roll < 3) {
 			glade::wire::PermitGrantT grant;
-			grant.box = BoxName4(this->dice.Below(this->size.boxes));
+			grant.box = BoxNameOf(this->rng.UniformBelow(this->size.boxes));
 			grant.epoch = 1;
 			grant.purpose = static_cast<uint8_t>(PermitPurpose::PP_MAINTAIN);
 			this->Add(std::move(grant));
 		} else {
-			this->ChangeJobs();
+			this->AddJobChanges();
 		}
 		this->Flush();
 	}
 
-	void ChangeCell()
+	void AddCellChange()
 	{
 		glade::wire::TablePublishT table;
 		table.base_version = this->log.size();
 		auto cell = std::make_unique<glade::wire::TableCellT>();
-		cell->service = ServiceOf(static_cast<uint32_t>(this->dice.Below(this->size.pools)));
+		cell->service = ServiceNameOf(static_cast<uint32_t>(this->rng.UniformBelow(this->size.pools)));
 		cell->column = "weight";
-		cell->value = std::to_string(1 + this->dice.Below(9));
+		cell->value = std::to_string(1 + this->rng.UniformBelow(9));
 		table.cells.push_back(std::move(cell));
 		this->Add(std::move(table));
 	}
 
-	void ChangeJobs()
+	void AddJobChanges()
 	{
-		for (uint64_t i = 0; i < JOBS_A_RECORD; i++) {
+		for (uint64_t i = 0; i < JOBS_PER_RECORD; i++) {
 			glade::wire::JobAcceptT job;
 			job.job = "job-" + std::to_string(++this->jobs);
-			job.team = "team-" + std::to_string(this->dice.Below(this->size.teams));
+			job.team = "team-" + std::to_string(this->rng.UniformBelow(this->size.teams));
 			job.work_class = static_cast<uint8_t>(WorkClass::WC_BATCH);
 			job.units = 1;
 			job.repeatable = true;
 			this->Add(std::move(job));
 		}
-		while (this->jobs - this->ended > this->size.jobs) {
+		while (this->jobs - this->cancelled_jobs > this->size.jobs) {
 			glade::wire::JobCancelT cancel;
-			cancel.jobs.push_back("job-" + std::to_string(++this->ended));
+			cancel.jobs.push_back("job-" + std::to_string(++this->cancelled_jobs));
 			this->Add(std::move(cancel));
 		}
 	}
@@ -165,7 +165,7 @@
 
 } // namespace
 
-SyntheticSize SizeOf(const FleetPreset &preset)
+SyntheticSize SyntheticSizeOf(const FleetPreset &preset)
 {
 	SyntheticSize size;
 	size.boxes = preset.boxes;
@@ -173,11 +173,11 @@
 	size.teams = preset.teams;
 	size.zones = preset.zones;
 	size.entries = preset.zones * 3;
-	size.jobs = static_cast<uint32_t>(preset.jobs_a_day);
+	size.jobs = static_cast<uint32_t>(preset.jobs_per_day);
 	return size;
 }
 
 std::vector<LogRecord> SyntheticLog(const SyntheticSize &size, size_t records, uint64_t seed)
 {
-	return LogMaker(size, seed).Make(records);
+	return SyntheticLogWriter(size, seed).Make(records);
 }
--- a/src/bench/synthetic_log.h
+++ b/src/bench/synthetic_log.h
@@ -2,7 +2,7 @@
 #ifndef SYNTHETIC_LOG_H
 #define SYNTHETIC_LOG_H
 
-#include "fleet_world.h"
+#include "simulated_fleet.h"
 
 /** Sizes of a fleet's state. */
 struct SyntheticSize {
@@ -18,7 +18,7 @@
  * @param preset A preset.
  * @return Its sizes.
  */
-SyntheticSize SizeOf(const FleetPreset &preset);
+SyntheticSize SyntheticSizeOf(const FleetPreset &preset);
 
 /**
  * Makes a log: set-up, then changes of all kinds in the proportions of an ordinary day.
