--- a/src/bench/bench_output.cpp
+++ b/src/bench/bench_output.cpp
@@ -1,4 +1,4 @@
-/** @file bench_output.cpp Figures of benches as JSON lines. */
+/** @file bench_output.cpp Output of benchmark figures as JSON lines. */
 #include "bench_output.h"
 
 #include <QJsonDocument>
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double ROUNDING = 10000.0; ///< Figures are printed to four digits behind the point.
+constexpr double ROUNDING = 10000.0; ///< Figures are printed with four decimal places.
 
 double Rounded(double value)
 {
--- a/src/bench/bench_output.h
+++ b/src/bench/bench_output.h
@@ -1,4 +1,4 @@
-/** @file bench_output.h Figures of benches as JSON lines. */
+/** @file bench_output.h Options, entry points and output of the benchmarks. */
 #ifndef BENCH_OUTPUT_H
 #define BENCH_OUTPUT_H
 
@@ -6,42 +6,42 @@
 #include <string>
 #include <vector>
 
-/** One figure. */
+/** A measured or computed figure. */
 struct Figure {
-	std::string bench;    ///< Name of the bench.
-	std::string preset;   ///< Preset or setting that it was measured with.
-	std::string figure;   ///< What was measured.
-	double value = 0;     ///< The value.
-	std::string unit;     ///< Its unit.
-	std::string baseline; ///< What it is compared with; empty for none.
-	double ratio = 0;     ///< Value against the baseline's, in the same run; 0 for none.
+	std::string bench;    ///< Name of the benchmark.
+	std::string preset;   ///< Preset or other setting of the run.
+	std::string figure;   ///< Name of the figure.
+	double value = 0;     ///< Value, in `unit`.
+	std::string unit;     ///< Unit of the value.
+	std::string baseline; ///< Name of the baseline that `ratio` refers to; empty for none.
+	double ratio = 0;     ///< Value divided by the baseline's value in the same run; 0 for none.
 	uint64_t seed = 0;    ///< Seed of the run.
 };
 
 /**
- * Prints a figure as a line of JSON.
- * @param figure The figure.
+ * Prints a figure to standard output as one line of JSON.
+ * @param figure Figure to print.
  */
 void PrintFigure(const Figure &figure);
 
-/** What a bench is run with. */
+/** Command-line options of a benchmark. */
 struct BenchOptions {
-	std::string preset = "greenhouse"; ///< Deployment.
-	uint64_t seed = 1;                 ///< Seed.
-	uint64_t seeds = 1;                ///< Number of seeds from `seed` on.
-	bool quick = false;                ///< Small sizes, to see that the bench works.
-	std::string page;                  ///< Page whose tables `capacity` writes; empty for none.
+	std::string preset = "greenhouse"; ///< Deployment to simulate: greenhouse, lindeboom or letter1.
+	uint64_t seed = 1;                 ///< First random seed.
+	uint64_t seeds = 1;                ///< Number of consecutive seeds, starting at `seed`.
+	bool quick = false;                ///< Whether to use small sizes, for a smoke test.
+	std::string page;                  ///< Page that `capacity` writes its tables into; empty for none.
 };
 
-int RunMaintainBench(const BenchOptions &options);   ///< Three weeks of maintenance, against baselines.
-int RunOptimumBench(const BenchOptions &options);    ///< Moves on small fleets, against the fewest possible.
-int RunFoldBench(const BenchOptions &options);       ///< Fold, snapshot and join at letter 1's size.
-int RunJobsBench(const BenchOptions &options);       ///< Urgent start, fairness, cancel waves.
-int RunConfigBench(const BenchOptions &options);     ///< Publish to in force.
-int RunOverloadBench(const BenchOptions &options);   ///< Three times the capacity, with faults, against baselines.
-int RunSlotsBench(const BenchOptions &options);      ///< Shares of slots among entries.
-int RunProxyBench(const BenchOptions &options);      ///< Real sockets: throughput and added latency.
-int RunFleetOwnerBench(const BenchOptions &options); ///< A look of the fleet's holder at 300, 1,200 and 5,000 boxes.
-int RunCapacityBench(const BenchOptions &options);   ///< Slopes for docs/CAPACITY.md.
+int RunMaintainBench(const BenchOptions &options); ///< Three weeks of maintenance, compared with baseline strategies.
+int RunOptimumBench(const BenchOptions &options);  ///< Box moves on small fleets, compared with the fewest possible.
+int RunFoldBench(const BenchOptions &options);     ///< Time to fold the log, pack a snapshot and join from it.
+int RunJobsBench(const BenchOptions &options);     ///< Start delay of urgent jobs, fairness, mass cancellation.
+int RunConfigBench(const BenchOptions &options);   ///< Delay from a publication until it is in force.
+int RunOverloadBench(const BenchOptions &options); ///< Three times the capacity, with faults, compared with baselines.
+int RunSlotsBench(const BenchOptions &options);    ///< Sharing of slots among entries.
+int RunProxyBench(const BenchOptions &options);    ///< Throughput and added latency over real sockets.
+int RunFleetOwnerBench(const BenchOptions &options); ///< Decision time of the fleet owner, 300 to 5,000 boxes.
+int RunCapacityBench(const BenchOptions &options);   ///< Cost per box, pool, team, etc. for docs/CAPACITY.md.
 
 #endif /* BENCH_OUTPUT_H */
--- a/src/bench/capacity_bench.cpp
+++ b/src/bench/capacity_bench.cpp
@@ -1,4 +1,4 @@
-/** @file capacity_bench.cpp Slopes of state, messages and time, and the rows of docs/CAPACITY.md computed from them. */
+/** @file capacity_bench.cpp Measures how state, messages and time grow with the fleet, for docs/CAPACITY.md. */
 #include "bench_output.h"
 #include "capacity_page.h"
 #include "synthetic_log.h"
@@ -14,13 +14,13 @@
 
 namespace {
 
-constexpr size_t SYNTHETIC_RECORDS = 400; ///< Records of a synthetic log, after its set-up.
+constexpr size_t SYNTHETIC_RECORDS = 400; ///< Records of a synthetic log after its initial records.
 
-/** State folded from a synthetic log, and what it took. */
+/** State folded from a synthetic log, with its memory and time. */
 struct FoldResult {
-	FleetState fleet;         ///< The state.
-	double heap_bytes = 0;    ///< Heap that it holds.
-	double us_per_record = 0; ///< Time to fold a record.
+	FleetState fleet;         ///< Resulting state.
+	double heap_bytes = 0;    ///< Heap memory of the state.
+	double us_per_record = 0; ///< Mean time to fold a record, microseconds.
 };
 
 FoldResult FoldSyntheticLog(const SyntheticSize &size)
@@ -38,7 +38,7 @@
 	return result;
 }
 
-/** Bytes of a frame that carries a message. */
+/** @return Bytes of a frame that carries a message, with its length prefix. */
 template <class T>
 double FrameBytes(T body)
 {
@@ -79,7 +79,7 @@
 	return fit;
 }
 
-/** Measures one quantity at four sizes of one count. */
+/** Measures a quantity at several sizes of one count and fits a line. */
 LinearFit Measure(const std::string &name, const std::string &unit, const std::string &count_name,
 				  const std::vector<uint32_t> &sizes, const std::function<double(uint32_t)> &value)
 {
@@ -99,7 +99,7 @@
 	return size;
 }
 
-/** Slopes of the keepers' state. */
+/** Measures the memory of the keepers' state. */
 void MeasureState(std::vector<LinearFit> &fits)
 {
 	const auto heap = [](const SyntheticSize &size) { return FoldSyntheticLog(size).heap_bytes; };
@@ -137,7 +137,7 @@
 	}));
 }
 
-/** Slopes of time: folding and planning. */
+/** Measures the time of folding, planning and building views. */
 void MeasureTime(std::vector<LinearFit> &fits)
 {
 	fits.push_back(Measure("fold a record", "us", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
@@ -149,7 +149,7 @@
 		FleetPreset preset = PresetByName("letter1");
 		preset.boxes = n;
 		preset.pools = std::max(n * 43 / 1200, 2U);
-		SimulatedFleet world(preset, 1);
+		SimulatedFleet simulated_fleet(preset, 1);
 		SyntheticSize size = SmallSize();
 		size.boxes = n;
 		size.pools = preset.pools;
@@ -181,7 +181,7 @@
 	}));
 }
 
-/** Slopes of messages. */
+/** Measures the sizes of messages, records and snapshots. */
 void MeasureMessages(std::vector<LinearFit> &fits)
 {
 	fits.push_back(Measure("whole view", "B", "boxes of the zone", {12, 30, 60, 120}, [&](uint32_t n) {
--- a/src/bench/capacity_page.cpp
+++ b/src/bench/capacity_page.cpp
@@ -1,4 +1,4 @@
-/** @file capacity_page.cpp What letter 1's size costs, computed from slopes, and the tables of docs/CAPACITY.md. */
+/** @file capacity_page.cpp Costs at the size of the letter1 preset, and the tables of docs/CAPACITY.md. */
 #include "capacity_page.h"
 
 #include <algorithm>
@@ -10,41 +10,41 @@
 
 namespace {
 
-/* Letter 1's size. */
+/* Size of the letter1 preset, and sizes and rates that the figures are computed from. */
 constexpr double BOXES = 1200;                     ///< Boxes.
 constexpr double POOLS = 43;                       ///< Pools.
 constexpr double TEAMS = 610;                      ///< Teams.
 constexpr double ZONES = 10;                       ///< Availability zones.
-constexpr double ENTRIES = 30;                     ///< Entries, three a zone.
+constexpr double ENTRIES = 30;                     ///< Entries, ENTRIES_PER_ZONE in each zone.
 constexpr double KEEPERS = 30;                     ///< Keepers, one on each entry box.
-constexpr double ENTRIES_PER_ZONE = 3;             ///< Entries, and keepers, of a zone.
-constexpr double JOBS_PER_DAY = 6000;              ///< Jobs a day, remembered for a day after their end.
-constexpr double PUBLICATIONS_PER_DAY = 1700;      ///< Publications a day.
-constexpr double PROPOSALS_PER_MAINTENANCE = 6;    ///< Records' proposals of one maintenance.
-constexpr double MAINTENANCE_CYCLE_DAYS = 21;      ///< Every box once in this time.
-constexpr double HEALTH_CHANGES_PER_DAY = 2 * 124; ///< Changes of health: 14 failures and 110 restarts, down and up.
-constexpr double RECORDS_PER_JOB = 3;              ///< Accept, place, report.
+constexpr double ENTRIES_PER_ZONE = 3;             ///< Entries of a zone; it has as many keepers.
+constexpr double JOBS_PER_DAY = 6000;              ///< Jobs per day, each kept for a day after its end.
+constexpr double PUBLICATIONS_PER_DAY = 1700;      ///< Table publications per day.
+constexpr double PROPOSALS_PER_MAINTENANCE = 6;    ///< Proposals logged for the maintenance of a box.
+constexpr double MAINTENANCE_CYCLE_DAYS = 21;      ///< Days in which every box is maintained once.
+constexpr double HEALTH_CHANGES_PER_DAY = 2 * 124; ///< 14 failures and 110 restarts, each down and up.
+constexpr double RECORDS_PER_JOB = 3;              ///< Log records of a job: accept, place, report.
 constexpr double SECONDS_PER_DAY = 86400;          ///< Seconds in a day.
-constexpr double HELLOS_PER_SECOND = 2;            ///< Hellos, leases and beats a second.
-constexpr double LEASE_BYTES = 60;                 ///< Bytes of a lease frame.
-constexpr double PLANNING_STEPS_PER_SECOND = 2;    ///< Planning steps a second.
-constexpr double BASE64_GROWTH = 4.0 / 3.0;  ///< Growth of a record on its way through the platform's HTTP interface.
-constexpr double RECORD_ENVELOPE_BYTES = 90; ///< Bytes around a record in a read answer, and of polls, per record.
-constexpr double POLL_BYTES = 300;           ///< Bytes of a read without records, request and answer with headers.
-constexpr double SLOT_MESSAGES_PER_SECOND =
-		64; ///< Messages of lending a second and entry under overload (glade_bench slots, 3 entries).
-constexpr double SLOT_MESSAGE_BYTES = 90;               ///< Bytes of such a message.
-constexpr double CPU_LIMIT_PERCENT = 3.9;               ///< Percent of a core.
-constexpr double MEMORY_LIMIT_BYTES = 256e6;            ///< Bytes.
-constexpr double CONTROL_BYTES_PER_SECOND_LIMIT = 9000; ///< Bytes a second.
-constexpr double APPENDS_PER_SECOND_LIMIT = 100;        ///< Appends a second.
+constexpr double HELLOS_PER_SECOND = 2;            ///< Hellos, leases and keeper beats per second, each.
+constexpr double LEASE_BYTES = 60;                 ///< Size of a lease frame.
+constexpr double PLANNING_STEPS_PER_SECOND = 2;    ///< Planning steps per second.
+constexpr double BASE64_GROWTH = 4.0 / 3.0;        ///< Records are base64 in the platform's HTTP interface.
+constexpr double RECORD_ENVELOPE_BYTES = 90; ///< Bytes around a record in a read response, with its share of the polls.
+constexpr double POLL_BYTES = 300;           ///< Request and response of a read without records, with headers.
+/** Lending messages per entry under overload, from `glade_bench slots` with 3 entries. */
+constexpr double SLOT_MESSAGES_PER_SECOND = 64;
+constexpr double SLOT_MESSAGE_BYTES = 90;               ///< Size of a lending message.
+constexpr double CPU_LIMIT_PERCENT = 3.9;               ///< Percent of one core.
+constexpr double MEMORY_LIMIT_BYTES = 256e6;            ///< Memory of a process.
+constexpr double CONTROL_BYTES_PER_SECOND_LIMIT = 9000; ///< Control traffic of a process.
+constexpr double APPENDS_PER_SECOND_LIMIT = 100;        ///< Appends to the platform's log, all writers.
 constexpr double PROCESS_BYTES = 22e6;   ///< Resident memory of an idle entry or keeper (scripts/process_check.sh).
-constexpr double LISTED_BOX_BYTES = 135; ///< Bytes of a box in the platform's list.
+constexpr double LISTED_BOX_BYTES = 135; ///< Size of a box in the platform's list.
 
-constexpr const char *TABLES_BEGIN_MARKER = "<!-- tables: begin -->"; ///< Line before the tables.
-constexpr const char *TABLES_END_MARKER = "<!-- tables: end -->";     ///< Line behind them.
+constexpr const char *TABLES_BEGIN_MARKER = "<!-- tables: begin -->"; ///< Line above the tables.
+constexpr const char *TABLES_END_MARKER = "<!-- tables: end -->";     ///< Line below the tables.
 
-/** Looks slopes up by name. */
+/** Finds fits by quantity and count. Each pair that is asked for must exist. */
 class FitLookup {
 public:
 	explicit FitLookup(const std::vector<LinearFit> &fits) : fits(fits) {}
@@ -61,7 +61,7 @@
 	}
 
 private:
-	const std::vector<LinearFit> &fits; ///< All slopes.
+	const std::vector<LinearFit> &fits; ///< All fits.
 
 	[[nodiscard]] const LinearFit &Find(const std::string &name, const std::string &count) const
 	{
@@ -148,7 +148,7 @@
 	const double log_read_bytes_per_second = log_bytes_per_second * BASE64_GROWTH +
 											 (changes_per_second + job_records_per_second) * RECORD_ENVELOPE_BYTES +
 											 POLL_BYTES;
-	/* The list goes over the wire whole when it has changed: reboots and changes of health, each down and up. */
+	/* The whole list is sent again after every change: reboots, down and up, and changes of health. */
 	const double list_bytes_per_second =
 			BOXES * LISTED_BOX_BYTES * (2 * BOXES / MAINTENANCE_CYCLE_DAYS + HEALTH_CHANGES_PER_DAY) / SECONDS_PER_DAY;
 	const double beat_bytes_per_second = HELLOS_PER_SECOND * 2 * (ENTRIES_PER_ZONE - 1) *
--- a/src/bench/config_bench.cpp
+++ b/src/bench/config_bench.cpp
@@ -1,4 +1,4 @@
-/** @file config_bench.cpp Publish to in force at every entry, on the virtual clock, with and without faults. */
+/** @file config_bench.cpp Delay until all entries apply a publication, with and without faults, on a virtual clock. */
 #include "bench_output.h"
 #include "simulated_fleet.h"
 
@@ -8,26 +8,26 @@
 
 namespace {
 
-constexpr Millis LOG_DELAY(20);              ///< Time of an append or read on a good day.
-constexpr Millis PUBLICATION_INTERVAL(1000); ///< Time between two publications.
-constexpr Millis IN_FORCE_TIMEOUT(120000);   ///< Time after which a publication counts as never in force.
-constexpr size_t CELL_VALUES = 7;            ///< Values that a cell goes through.
+constexpr Millis LOG_DELAY(20);              ///< Time of an append or read without faults.
+constexpr Millis PUBLICATION_INTERVAL(1000); ///< Time from one publication's end to the next.
+constexpr Millis IN_FORCE_TIMEOUT(120000);   ///< A publication that takes longer counts as never in force.
+constexpr size_t CELL_VALUES = 7;            ///< Number of values that the published cell cycles through.
 
-/** What goes wrong. */
+/** Injected fault. */
 enum class ConfigFault : uint8_t {
-	CF_NONE,         ///< Nothing.
-	CF_LOG_SLOW,     ///< Answers of the log take half a second.
-	CF_ZONE_CUT,     ///< A zone is cut off from the log half of the time.
-	CF_ANSWERS_LOST, ///< Every answer to an append of a publisher is lost.
+	CF_NONE,         ///< No fault.
+	CF_LOG_SLOW,     ///< Every call to the log takes 500 ms.
+	CF_ZONE_CUT,     ///< A zone has no connection to the log during every other publication.
+	CF_ANSWERS_LOST, ///< Each keeper loses the answer to one append per publication.
 };
 
-/** What a run showed. */
+/** Result of a run. */
 struct ConfigResult {
-	std::vector<double> in_force_ms; ///< Time to in force at the last entry that is not cut off, ms.
-	double appends = 0;              ///< Appends a second, all keepers.
-	double bytes = 0;                ///< Bytes a second appended.
-	size_t never_in_force = 0;       ///< Publications never in force or refused.
-	size_t violations = 0;           ///< What should always hold and did not.
+	std::vector<double> in_force_ms; ///< Delay until the last connected entry applies a publication, ms.
+	double appends = 0;              ///< Appends per second by all keepers.
+	double bytes = 0;                ///< Bytes per second appended by all keepers.
+	size_t never_in_force = 0;       ///< Publications refused or not in force in time.
+	size_t violations = 0;           ///< Violated invariants.
 };
 
 double QuantileOf(std::vector<double> values, double share)
@@ -94,8 +94,8 @@
 	const size_t publications = options.quick ? 10 : 200;
 	int failed = 0;
 	struct Case {
-		ConfigFault fault; ///< What goes wrong.
-		const char *name;  ///< Its name.
+		ConfigFault fault; ///< Injected fault.
+		const char *name;  ///< Name in the output.
 	};
 	static constexpr Case _cases[] = {{ConfigFault::CF_NONE, "good_day"},
 									  {ConfigFault::CF_LOG_SLOW, "log_slow_500ms"},
--- a/src/bench/fleet_owner_bench.cpp
+++ b/src/bench/fleet_owner_bench.cpp
@@ -1,5 +1,4 @@
-/** @file fleet_owner_bench.cpp One look of the fleet's holder: a wave over half of the boxes, and moves between pools.
- */
+/** @file fleet_owner_bench.cpp Decision time of the fleet owner: a wave over half of the boxes, pool balancing. */
 #include "bench_output.h"
 
 #include "../upkeep/pool_balancer.h"
@@ -11,19 +10,19 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::array<size_t, 3> SIZES = {300, 1200, 5000}; ///< Boxes.
+constexpr std::array<size_t, 3> SIZES = {300, 1200, 5000}; ///< Numbers of boxes.
 constexpr size_t POOLS = 4;                                ///< Pools that run jobs.
-constexpr int DECISIONS = 10;                              ///< Looks measured.
-constexpr Millis DECISION_INTERVAL(200);                   ///< Time between them.
-constexpr Resources BOX_CAPACITY{16000, 65536, 0};         ///< What a box has.
-constexpr int64_t WAITING_CPU = 4000000;                   ///< Thousandths of a core that the first pool waits for.
+constexpr int DECISIONS = 10;                              ///< Decisions measured.
+constexpr Millis DECISION_INTERVAL(200);                   ///< Time between two decisions.
+constexpr Resources BOX_CAPACITY{16000, 65536, 0};         ///< Resources of a box.
+constexpr int64_t WAITING_CPU = 4000000; ///< Thousandths of a core that jobs of the first pool wait for.
 
 ServiceName TestPoolName(size_t n)
 {
 	return ServiceName("pool" + std::to_string(n));
 }
 
-/** A fleet whose first pool waits for room; every second box of the others runs something. */
+/** @return A fleet whose first pool is full and has waiting jobs; in the other pools every second box runs jobs. */
 FleetView MakeView(size_t boxes)
 {
 	FleetView view;
@@ -44,7 +43,7 @@
 	return view;
 }
 
-/** @return Time of a look in microseconds. */
+/** @return Mean time of a decision in microseconds. */
 double MeasureDecision(size_t boxes)
 {
 	const FleetView view = MakeView(boxes);
--- a/src/bench/fold_bench.cpp
+++ b/src/bench/fold_bench.cpp
@@ -1,4 +1,4 @@
-/** @file fold_bench.cpp Fold, snapshot and join at letter 1's size. */
+/** @file fold_bench.cpp Time to fold a log, to hash the state, to pack a snapshot and to join from it. */
 #include "bench_output.h"
 #include "synthetic_log.h"
 
--- a/src/bench/jobs_bench.cpp
+++ b/src/bench/jobs_bench.cpp
@@ -1,4 +1,4 @@
-/** @file jobs_bench.cpp Jobs at letter 1's size: urgent start, fairness among teams, acceptance, cancel waves. */
+/** @file jobs_bench.cpp Jobs: start delay of urgent ones, fairness among teams, acceptance rate, mass cancellation. */
 #include "bench_output.h"
 #include "synthetic_log.h"
 
@@ -16,13 +16,13 @@
 
 constexpr Millis PLAN_TICK(250);            ///< Time between two planning steps.
 constexpr Millis LOG_DELAY(20);             ///< Time of an append or read.
-constexpr Millis CHECKPOINT_TIME(300);      ///< Time until a job asked to stop has stopped.
-constexpr Millis REPORT_DELAY(250);         ///< Time until an ended job is told of.
-constexpr size_t PLACEMENTS_PER_STEP = 500; ///< Placements in one planning step.
+constexpr Millis CHECKPOINT_TIME(300);      ///< Time from a stop request until the job has stopped.
+constexpr Millis REPORT_DELAY(250);         ///< Time from the end of a job until its report.
+constexpr size_t PLACEMENTS_PER_STEP = 500; ///< Most placements in a planning step.
 constexpr size_t CANCEL_WAVE_JOBS = 10000;  ///< Jobs cancelled at once.
 constexpr size_t CANCEL_BATCH_JOBS = 500;   ///< Jobs in one cancellation record.
 
-/** Value at a share of a sorted list. */
+/** @return Quantile at `share` by the nearest-rank method; 0 without values. */
 double QuantileOf(std::vector<double> values, double share)
 {
 	if (values.empty()) {
@@ -33,7 +33,7 @@
 	return values[std::min(at, values.size() - 1)];
 }
 
-/** A planner over a log, with boxes that run jobs. */
+/** Simulates a planner and boxes that run its jobs, over a log in memory. */
 class JobsSimulation {
 public:
 	JobsSimulation(const FleetPreset &preset, uint64_t seed)
@@ -46,7 +46,7 @@
 		this->policy.drain_grace = Millis(MS_PER_HOUR);
 	}
 
-	/** Sets the fleet up, fills it with batch jobs of all teams, submits urgent ones, cancels a wave. */
+	/** Fills the fleet with batch jobs of all teams, then submits urgent jobs, then cancels jobs in bulk. */
 	void Run(bool quick)
 	{
 		this->tail.Start();
@@ -63,27 +63,27 @@
 
 	std::vector<double> start_delays_ms; ///< Time from submitting an urgent job to its start, ms.
 	size_t urgent_submitted = 0;         ///< Urgent jobs submitted.
-	double accepted_per_second = 0;      ///< Jobs accepted a second while the flood lasted.
-	double unfairness = 0;       ///< Largest difference of teams' shares of their quotas, teams with work waiting.
-	double cancel_ms = 0;        ///< Time until a wave of cancellations was in force.
-	uint64_t cancel_appends = 0; ///< Appends that it took.
-	size_t preempted = 0;        ///< Jobs stopped at a checkpoint for urgent ones.
+	double accepted_per_second = 0;      ///< Batch jobs accepted per second.
+	double unfairness = 0;               ///< Largest difference in used quota shares between teams with waiting jobs.
+	double cancel_ms = 0;                ///< Time until all cancellations were in force.
+	uint64_t cancel_appends = 0;         ///< Appends needed for the cancellations.
+	size_t preempted = 0;                ///< Jobs stopped at a checkpoint in favour of urgent ones.
 
 	[[nodiscard]] const LogStore &Store() const { return this->store; }
 
 private:
-	FleetPreset preset;                             ///< Sizes.
-	RandomSource rng;                               ///< Random numbers.
-	VirtualScheduler clock;                         ///< The clock.
-	LogStore store;                                 ///< The log.
-	MemoryLog log;                                  ///< The way to it.
-	LogTail tail;                                   ///< The state.
-	LogWriter writer;                               ///< Appends.
-	PlannerPolicy policy;                           ///< Weights.
-	size_t undecided_proposals = 0;                 ///< Planned proposals not decided.
-	std::map<JobName, Millis> submitted;            ///< Urgent jobs waiting for their start.
-	std::set<JobName> stopping;                     ///< Jobs asked to stop.
-	std::set<std::pair<JobName, uint32_t>> running; ///< Attempts whose end is planned.
+	FleetPreset preset;                             ///< Sizes and rates.
+	RandomSource rng;                               ///< Random numbers of submissions.
+	VirtualScheduler clock;                         ///< Virtual clock.
+	LogStore store;                                 ///< Records of the log.
+	MemoryLog log;                                  ///< Access to the log, with delays.
+	LogTail tail;                                   ///< Follows the log and keeps the state.
+	LogWriter writer;                               ///< Appends proposals to the log.
+	PlannerPolicy policy;                           ///< Planner settings.
+	size_t undecided_proposals = 0;                 ///< Planner's proposals without a decision yet.
+	std::map<JobName, Millis> submitted;            ///< Submission times of urgent jobs that have not started.
+	std::set<JobName> stopping;                     ///< Jobs requested to stop at a checkpoint.
+	std::set<std::pair<JobName, uint32_t>> running; ///< Attempts with a scheduled end.
 
 	void Submit(Proposal it, WritePriority priority, LogWriter::Done done = {})
 	{
@@ -97,8 +97,8 @@
 		term.member = "keeper";
 		this->Submit(MakeProposal(std::move(term)), WritePriority::WP_CONFIG,
 					 [this](const Decision &) { this->writer.SetTerm(RegionName("main"), Term(1)); });
-		SimulatedFleet world(this->preset, 1);
-		const TableEdit edit = world.InitialTable();
+		SimulatedFleet simulated_fleet(this->preset, 1);
+		const TableEdit edit = simulated_fleet.InitialTable();
 		glade::wire::TablePublishT table;
 		for (const CellEdit &it : edit.cells) {
 			auto cell = std::make_unique<glade::wire::TableCellT>();
--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp glade_bench: load and experiment tool. Decision benches run on a virtual clock and are exact. */
+/** @file main.cpp glade_bench: benchmarks. Those of decisions run on a virtual clock and are reproducible. */
 #include "../program/program.h"
 #include "bench_output.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr const char *USAGE = R"(glade_bench: measures glademount and prints JSON lines
+constexpr const char *USAGE = R"(glade_bench: runs benchmarks of glademount and prints their figures as JSON lines
 
 Usage:
   glade_bench (maintain|optimum|fold|jobs|config|overload|slots|proxy|fleet|capacity) [options]
@@ -18,18 +18,18 @@
 
 Options:
   --preset NAME   greenhouse, lindeboom or letter1 [default: greenhouse].
-  --seed N        Seed; the same seed gives the same bytes but for times measured [default: 1].
-  --seeds N       Number of seeds, from --seed on [default: 1].
-  --quick         Small sizes: shows that the bench works.
-  --page FILE     With capacity: writes the tables into this page.
-  -h --help       Show this.
+  --seed N        Random seed; the same seed gives the same figures, except for measured times [default: 1].
+  --seeds N       Number of consecutive seeds, starting at --seed [default: 1].
+  --quick         Small sizes, for a smoke test.
+  --page FILE     With capacity: page to write the tables into.
+  -h --help       Show this help.
   --version       Show the version.
 )";
 
-/** A bench by name. */
+/** Command-line name and function of a benchmark. */
 struct BenchCommand {
-	const char *name;                 ///< Its word on the command line.
-	int (*run)(const BenchOptions &); ///< Runs it.
+	const char *name;                 ///< Command-line word.
+	int (*run)(const BenchOptions &); ///< Runs the benchmark; returns the exit code.
 };
 
 constexpr std::array _benches = {
--- a/src/bench/maintain_bench.cpp
+++ b/src/bench/maintain_bench.cpp
@@ -1,4 +1,4 @@
-/** @file maintain_bench.cpp Three weeks of maintenance over the real fold: ours against the baselines. */
+/** @file maintain_bench.cpp Three weeks of maintenance on a simulated fleet: the planner compared with baselines. */
 #include "bench_output.h"
 #include "simulated_fleet.h"
 #include "strategy.h"
@@ -8,33 +8,33 @@
 
 namespace {
 
-constexpr Millis TIME_STEP(5 * 60 * MS_PER_SECOND); ///< Virtual time between two looks.
+constexpr Millis TIME_STEP(5 * 60 * MS_PER_SECOND); ///< Virtual time of a simulation step.
 constexpr Millis SPAN(21 * MS_PER_DAY);             ///< Length of a run.
 constexpr Millis START_TIME(1000 * MS_PER_DAY);     ///< Virtual wall clock at the start.
-constexpr Millis JOB_TIME_MEAN(2 * MS_PER_HOUR);    ///< Time that a job runs.
-constexpr int PLANNING_ROUNDS_PER_STEP = 3;         ///< Planning steps within a look: one leads to the next.
-constexpr size_t PLACEMENTS_PER_STEP = 500;         ///< Placements in one planning step.
-constexpr double US_PER_MS = 1000.0;                ///< Microseconds in a millisecond.
+constexpr Millis JOB_TIME_MEAN(2 * MS_PER_HOUR);    ///< Mean run time of a job.
+constexpr int PLANNING_ROUNDS_PER_STEP = 3; ///< Planning steps in a simulation step; each builds on the one before.
+constexpr size_t PLACEMENTS_PER_STEP = 500; ///< Most placements in a planning step.
+constexpr double US_PER_MS = 1000.0;        ///< Microseconds in a millisecond.
 
-/** What a run of three weeks showed. */
+/** Result of a run, or the sum over several seeds. */
 struct MaintainResult {
-	uint64_t violations_planned = 0;   ///< Pool-steps below the floors that would hold without planned work.
-	uint64_t violations_unplanned = 0; ///< Pool-steps below the floors by failures alone.
-	uint64_t overdue = 0;              ///< Boxes not maintained within the span.
-	double rollout_hours = 0;          ///< Time until the last box that could be was maintained.
-	uint64_t box_moves = 0;            ///< Boxes that changed their pool.
-	uint64_t job_moves = 0;            ///< Jobs stopped at a checkpoint to empty a box.
-	double buffer_bound = 0; ///< The same if every pool were spread evenly over the zones and nothing down by plan.
-	double buffer_share = 0; ///< Slots held idle for guards or down by plan, against all; mean over time.
+	uint64_t violations_planned = 0;   ///< Pool-steps below the floors that would be met without planned work.
+	uint64_t violations_unplanned = 0; ///< Pool-steps below the floors because of failures alone.
+	uint64_t overdue = 0;              ///< Boxes not maintained during the run.
+	double rollout_hours = 0;          ///< Time until the last first maintenance of a box.
+	uint64_t box_moves = 0;            ///< Moves of boxes between pools.
+	uint64_t job_moves = 0;            ///< Jobs stopped at a checkpoint to drain a box.
+	double buffer_bound = 0; ///< Lower bound of buffer_share: pools spread evenly over zones, no box down by plan.
+	double buffer_share = 0; ///< Mean share of slots that are idle for guards or down by plan.
 	uint64_t appends = 0;    ///< Records appended.
-	uint64_t bytes = 0;      ///< Bytes in them.
-	uint64_t rejected = 0;   ///< Proposals that the fold refused.
+	uint64_t bytes = 0;      ///< Bytes of the appended records.
+	uint64_t rejected = 0;   ///< Proposals refused by the fold.
 	uint64_t steps = 0;      ///< Planning steps.
-	double plan_us = 0;      ///< Time spent planning.
-	double plan_us_max = 0;  ///< Longest step.
+	double plan_us = 0;      ///< Time of all planning steps, microseconds.
+	double plan_us_max = 0;  ///< Time of the longest planning step, microseconds.
 };
 
-/** One run. */
+/** Runs a strategy on a simulated fleet. */
 class MaintenanceSimulation {
 public:
 	MaintenanceSimulation(const FleetPreset &preset, uint64_t seed, Strategy &strategy)
@@ -56,22 +56,22 @@
 
 private:
 	FleetPreset preset;                         ///< Sizes and rates.
-	Strategy &strategy;                         ///< What plans.
-	SimulatedFleet simulated_fleet;             ///< The boxes as they are.
-	RandomSource job_rng;                       ///< Random numbers of jobs.
-	FleetState fleet;                           ///< The state.
+	Strategy &strategy;                         ///< Strategy under test.
+	SimulatedFleet simulated_fleet;             ///< Actual state of the boxes.
+	RandomSource job_rng;                       ///< Random numbers of jobs, apart from those of the fleet.
+	FleetState fleet;                           ///< State folded from the log.
 	Millis now = START_TIME;                    ///< Virtual time.
-	uint64_t sequence = 0;                      ///< Of the one writer.
-	uint64_t offset = 0;                        ///< Of the log.
+	uint64_t sequence = 0;                      ///< Last sequence number of the writer.
+	uint64_t offset = 0;                        ///< Last offset of the log.
 	uint64_t jobs = 0;                          ///< Jobs accepted.
-	std::map<JobName, Millis> job_ends;         ///< When running jobs end.
-	MaintainResult result;                      ///< What is seen.
-	double buffer_sum = 0;                      ///< Sum of the buffer's share.
-	double bound_sum = 0;                       ///< Sum of its bound.
-	uint64_t measurements = 0;                  ///< Looks taken.
-	Millis last_first_maintenance = START_TIME; ///< When a box was maintained for the first time, the last such.
+	std::map<JobName, Millis> job_ends;         ///< End times of running jobs.
+	MaintainResult result;                      ///< Figures so far.
+	double buffer_sum = 0;                      ///< Sum of the measured buffer shares.
+	double bound_sum = 0;                       ///< Sum of the lower bounds of the buffer share.
+	uint64_t measurements = 0;                  ///< Number of summands in the sums.
+	Millis last_first_maintenance = START_TIME; ///< Latest time at which a box was maintained for the first time.
 
-	/** Appends proposals in one record and folds it. */
+	/** Appends proposals as one record and folds it. */
 	void Append(std::vector<Proposal> proposals)
 	{
 		if (proposals.empty()) {
@@ -291,9 +291,9 @@
 
 /** A named figure of a result. */
 struct MaintainFigure {
-	const char *name;                        ///< Name.
+	const char *name;                        ///< Name in the output.
 	const char *unit;                        ///< Unit.
-	double (*value)(const MaintainResult &); ///< Reads it.
+	double (*value)(const MaintainResult &); ///< Reads the figure from a result.
 };
 
 constexpr MaintainFigure _figures[] = {
@@ -321,7 +321,7 @@
 		{"plan_max", "ms", [](const MaintainResult &it) { return it.plan_us_max / US_PER_MS; }},
 };
 
-/** Adds a result to a sum. */
+/** Adds a result to `sum`; for plan_us_max, takes the maximum. */
 void AddTo(MaintainResult &sum, const MaintainResult &it)
 {
 	sum.violations_planned += it.violations_planned;
--- a/src/bench/optimum_bench.cpp
+++ b/src/bench/optimum_bench.cpp
@@ -1,4 +1,4 @@
-/** @file optimum_bench.cpp Small fleets: moves of our planner after a change of floors against the fewest possible. */
+/** @file optimum_bench.cpp Small fleets: box moves by the planner after a change of floors, and the fewest possible. */
 #include "bench_output.h"
 #include "simulated_fleet.h"
 
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr uint32_t BOXES = 9;            ///< Boxes of a fleet: 3 zones of 3 racks.
+constexpr uint32_t BOXES = 9;            ///< Boxes of a fleet: 3 zones with 3 racks of one box each.
 constexpr uint32_t POOLS = 3;            ///< Pools.
 constexpr uint32_t SLOTS = 8;            ///< Slots of a box.
-constexpr int MAX_STEPS = 200;           ///< Planning steps after which ours counts as not arrived.
-constexpr uint64_t CASES_PER_SEED = 200; ///< Changes of floors a seed.
+constexpr int MAX_STEPS = 200;           ///< Planning steps after which the planner counts as not arrived.
+constexpr uint64_t CASES_PER_SEED = 200; ///< Changes of floors per seed.
 
-/** A fleet of boxes in pools, and floors. */
+/** Boxes and floors; which pool a box is in is given by an assignment. */
 struct SmallFleet {
-	std::vector<Box> boxes;       ///< The boxes.
+	std::vector<Box> boxes;       ///< Boxes of all pools.
 	std::vector<uint32_t> floors; ///< Floor of each pool's service.
 };
 
@@ -51,7 +51,7 @@
 	return true;
 }
 
-/** Tries every assignment. */
+/** @return Fewest moves to an assignment that meets all floors, by trying every one; UINT32_MAX if there is none. */
 uint32_t FewestMoves(const SmallFleet &fleet, const std::vector<uint32_t> &from)
 {
 	uint32_t best = UINT32_MAX;
@@ -74,7 +74,7 @@
 	}
 }
 
-/** Lets the planner move boxes, each move carried out at once, until guards hold or nothing moves any more. */
+/** @return Moves by the planner until it proposes none; each move is carried out at once. */
 uint32_t PlannerMoves(const SmallFleet &fleet, std::vector<uint32_t> assignment, bool &floors_hold)
 {
 	PlannerPolicy policy = GreenhousePolicy();
@@ -135,7 +135,7 @@
 		}
 		const uint32_t best = FewestMoves(fleet, from);
 		if (best == 0 || best == UINT32_MAX) {
-			continue; /* Nothing to do, or nothing would help. */
+			continue; /* The floors are already met, or no assignment meets them. */
 		}
 		bool floors_hold = false;
 		const uint32_t moves = PlannerMoves(fleet, from, floors_hold);
--- a/src/bench/overload_bench.cpp
+++ b/src/bench/overload_bench.cpp
@@ -1,4 +1,4 @@
-/** @file overload_bench.cpp Three times the capacity with faults, through the real request path on a virtual clock. */
+/** @file overload_bench.cpp Load of three times the capacity, with faults, on the request path with a virtual clock. */
 #include "bench_output.h"
 #include "simulated_fleet.h"
 
@@ -9,36 +9,36 @@
 
 namespace {
 
-constexpr uint32_t ENDPOINTS = 10;      ///< Endpoints of the pool, two a rack.
-constexpr uint32_t SLOTS = 8;           ///< Slots of each.
-constexpr Millis SERVICE_TIME_MEAN(40); ///< Mean time of a request.
-constexpr uint32_t SLOW_FACTOR = 5;     ///< How much longer the slow endpoint takes.
+constexpr uint32_t ENDPOINTS = 10;      ///< Endpoints of the pool, two per rack.
+constexpr uint32_t SLOTS = 8;           ///< Slots of an endpoint.
+constexpr Millis SERVICE_TIME_MEAN(40); ///< Mean time that an endpoint spends on a request.
+constexpr uint32_t SLOW_FACTOR = 5;     ///< Factor by which the slow endpoint takes longer.
 constexpr Millis FAILURE_TIME(2);       ///< Time after which the failing endpoint answers 500.
-constexpr size_t SLOW_ENDPOINT = 3;     ///< The slow endpoint.
-constexpr size_t FAILING_ENDPOINT = 7;  ///< The endpoint that fails everything.
-constexpr size_t LOST_RACK_FIRST = 4;   ///< First endpoint of the rack that is lost.
-constexpr size_t LOST_RACK_LAST = 5;    ///< Last endpoint of it.
-constexpr double LOAD_FACTOR = 3.0;     ///< Demand against the slots' capacity.
-constexpr Millis GATE_TICK(20);         ///< Tick of gates.
-constexpr int STATUS_OK = 200;          ///< HTTP status.
-constexpr int STATUS_ERROR = 500;       ///< HTTP status.
+constexpr size_t SLOW_ENDPOINT = 3;     ///< Index of the slow endpoint.
+constexpr size_t FAILING_ENDPOINT = 7;  ///< Index of the endpoint that fails every request.
+constexpr size_t LOST_RACK_FIRST = 4;   ///< First endpoint of the rack that goes down.
+constexpr size_t LOST_RACK_LAST = 5;    ///< Last endpoint of the rack that goes down.
+constexpr double LOAD_FACTOR = 3.0;     ///< Request rate as a multiple of the slots' capacity.
+constexpr Millis GATE_TICK(20);         ///< Time between two ticks of a gate.
+constexpr int STATUS_OK = 200;          ///< HTTP status of a success.
+constexpr int STATUS_ERROR = 500;       ///< HTTP status of a failure at the endpoint.
 
-/** A class of callers. */
+/** A class of requests. */
 struct TrafficClass {
-	const char *service; ///< Service.
-	uint32_t percent;    ///< Share of the demand.
-	Millis deadline;     ///< How long callers wait.
+	const char *service; ///< Name of the service.
+	uint32_t percent;    ///< Share of all requests.
+	Millis deadline;     ///< Deadline of the requests, after their start.
 };
 
 constexpr TrafficClass _traffic_classes[] = {
 		{"counter", 20, Millis(300)}, {"reservations", 40, Millis(2000)}, {"claims", 40, Millis(10000)}};
 
-/** How requests are handled. */
+/** How overload is handled. */
 struct OverloadPolicy {
-	const char *name;  ///< Name.
+	const char *name;  ///< Name in the output.
 	GateSettings gate; ///< Settings of the gate.
-	uint32_t attempts; ///< Most endpoints tried.
-	bool retry_budget; ///< Whether retries are limited.
+	uint32_t attempts; ///< Most attempts for a request.
+	bool retry_budget; ///< Whether retries are limited by a budget.
 };
 
 std::vector<OverloadPolicy> OverloadPolicies()
@@ -60,16 +60,16 @@
 	return all;
 }
 
-/** What a run showed. */
+/** Result of a run. */
 struct OverloadResult {
-	double urgent_on_time = 0; ///< Share of urgent requests answered well and in time.
-	double goodput = 0;        ///< Good answers in time against what the slots allow.
-	double retries = 0;        ///< Retries per request.
-	double amplification = 0;  ///< Sendings to endpoints per request admitted.
-	double refusal_ms = 0;     ///< Mean time until a refusal.
+	double urgent_on_time = 0; ///< Share of urgent requests that succeed before their deadline.
+	double goodput = 0;        ///< Successes before the deadline, as a share of what the slots allow.
+	double retries = 0;        ///< Retries per request sent.
+	double amplification = 0;  ///< Endpoint calls per admitted request.
+	double refusal_ms = 0;     ///< Mean time until a request is refused.
 };
 
-/** One run. */
+/** Simulates callers, the request path of an entry, and endpoints. */
 class OverloadSimulation : public EndpointDialer {
 public:
 	OverloadSimulation(const OverloadPolicy &policy, uint64_t seed, Millis span)
@@ -109,18 +109,18 @@
 	friend class SimulatedCall;
 	friend struct SimulatedCaller;
 
-	RandomSource rng;                      ///< Random numbers.
-	Millis span;                           ///< Length of the run.
-	VirtualScheduler clock;                ///< The clock.
-	AnyCaller credentials;                 ///< Who may call.
-	RequestPath path;                      ///< The request path.
-	bool limit_retries = true;             ///< Whether retries are limited.
-	bool finished = false;                 ///< Whether no more requests come.
-	uint64_t sent_requests[3] = {0, 0, 0}; ///< Requests by class.
-	uint64_t good_answers[3] = {0, 0, 0};  ///< Good answers in time.
-	uint64_t endpoint_calls = 0;           ///< Sendings to endpoints.
-	double refusal_ms = 0;                 ///< Time until refusals, sum.
-	uint64_t refusals = 0;                 ///< Refusals.
+	RandomSource rng;                      ///< Random numbers of arrivals and service times.
+	Millis span;                           ///< Time during which requests arrive.
+	VirtualScheduler clock;                ///< Virtual clock.
+	AnyCaller credentials;                 ///< Credentials that accept every caller.
+	RequestPath path;                      ///< Request path under test.
+	bool limit_retries = true;             ///< Whether retries are limited by a budget.
+	bool finished = false;                 ///< Whether requests have ceased to arrive.
+	uint64_t sent_requests[3] = {0, 0, 0}; ///< Requests sent, by class.
+	uint64_t good_answers[3] = {0, 0, 0};  ///< Successes before the deadline, by class.
+	uint64_t endpoint_calls = 0;           ///< Calls to endpoints that could be reached.
+	double refusal_ms = 0;                 ///< Sum of times until refusals.
+	uint64_t refusals = 0;                 ///< Number of refusals.
 
 	static RequestSettings SettingsOf(const OverloadPolicy &policy)
 	{
@@ -136,7 +136,7 @@
 		return now >= Millis(this->span.Value() / 2) && now < Millis(this->span.Value() * 3 / 4);
 	}
 
-	/** Good answers that the slots allow: every slot of an endpoint that works, all the time that it is there. */
+	/** @return Successes that the slots allow: all slots of working endpoints busy for as long as these are up. */
 	[[nodiscard]] double AnswerCapacity() const
 	{
 		const double per_endpoint =
@@ -169,7 +169,7 @@
 	void SubmitRequests();
 };
 
-/** A caller. */
+/** Caller of one request; counts its outcome. */
 struct SimulatedCaller : public CallerSink {
 	SimulatedCaller(OverloadSimulation &run, size_t class_index)
 			: run(run), class_index(class_index), begin_time(run.clock.Now())
@@ -191,13 +191,13 @@
 	void Abort() override {}
 	[[nodiscard]] bool Congested() const override { return false; }
 
-	OverloadSimulation &run; ///< The run.
-	size_t class_index;      ///< Its class.
-	Millis begin_time;       ///< When it called.
-	int status = 0;          ///< Status of the answer.
+	OverloadSimulation &run; ///< Simulation that counts the outcome.
+	size_t class_index;      ///< Index of its traffic class.
+	Millis begin_time;       ///< Time of the request.
+	int status = 0;          ///< HTTP status of the answer, 0 before it.
 };
 
-/** A call to an endpoint. */
+/** A call to a simulated endpoint. */
 class SimulatedCall : public EndpointCall {
 public:
 	SimulatedCall(OverloadSimulation &run, size_t endpoint, CallEvents &events)
@@ -239,7 +239,7 @@
 	void Abandon() override { *this->state = nullptr; }
 
 private:
-	std::shared_ptr<CallEvents *> state; ///< Who hears, null for nobody.
+	std::shared_ptr<CallEvents *> state; ///< Receiver of events; null once the call has ended or was abandoned.
 };
 
 std::unique_ptr<EndpointCall> OverloadSimulation::Start(const std::string &address, const CallerRequest &,
--- a/src/bench/proxy_bench.cpp
+++ b/src/bench/proxy_bench.cpp
@@ -1,5 +1,4 @@
-/** @file proxy_bench.cpp Real sockets on loopback: requests a second a core, added latency, memory of idle connections.
- */
+/** @file proxy_bench.cpp Throughput per core, added latency, memory of idle connections, over loopback sockets. */
 #include "bench_output.h"
 
 #include "../entry/lane.h"
@@ -18,15 +17,15 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr uint32_t ENDPOINTS = 8;      ///< Endpoints of the view; all are one listener.
-constexpr uint32_t SLOTS = 128;        ///< Slots of each: this bench is about the path, not about limits.
-constexpr int STATUS_OK = 200;         ///< HTTP status.
+constexpr uint32_t ENDPOINTS = 8;      ///< Endpoints of the view, all with the address of one listener.
+constexpr uint32_t SLOTS = 128;        ///< Slots of an endpoint; so many that no request waits.
+constexpr int STATUS_OK = 200;         ///< HTTP status of a success.
 constexpr double NS_PER_SECOND = 1e9;  ///< Nanoseconds in a second.
-constexpr int IDLE_CONNECTIONS = 1000; ///< Connections whose memory is measured.
-constexpr int PACED_CONNECTIONS = 64;  ///< Connections of the measurement at half load.
-constexpr int HALF_LOAD_DIVISOR = 2;   ///< Half load.
+constexpr int IDLE_CONNECTIONS = 1000; ///< Connections in the memory measurement.
+constexpr int PACED_CONNECTIONS = 64;  ///< Connections in the measurement at half load.
+constexpr int HALF_LOAD_DIVISOR = 2;   ///< Divides the full rate for half load.
 
-/** CPU time of the calling thread in seconds. */
+/** @return CPU time of the calling thread in seconds. */
 double ThreadCpuSeconds()
 {
 	timespec now{};
@@ -34,7 +33,7 @@
 	return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) / NS_PER_SECOND;
 }
 
-/** Resident memory of this process in bytes. */
+/** @return Resident memory of this process in bytes. */
 double ResidentBytes()
 {
 	std::ifstream in("/proc/self/statm");
@@ -43,7 +42,7 @@
 	return static_cast<double>(pages) * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-/** Answers every request at once. */
+/** Answers every request at once with the same body. */
 class FixedResponseHandler : public RequestHandler {
 public:
 	std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest) override
@@ -79,11 +78,11 @@
 	}
 
 private:
-	QThread thread;  ///< The thread.
-	QObject context; ///< Lives on it.
+	QThread thread;  ///< Thread that runs the event loop.
+	QObject context; ///< Object that lives on the thread, to invoke functions there.
 };
 
-/** The endpoint: one listener on a thread of its own. */
+/** Endpoint: a listener on its own thread. */
 class FixedResponseEndpoint {
 public:
 	FixedResponseEndpoint()
@@ -113,17 +112,17 @@
 	[[nodiscard]] quint16 Port() const { return this->port; }
 
 private:
-	EventLoopThread loop;                     ///< Its thread.
+	EventLoopThread loop;                     ///< Thread of the endpoint.
 	std::unique_ptr<QtScheduler> scheduler;   ///< Clock and timers.
-	FixedResponseHandler handler;             ///< Answers.
-	CallerLimits limits;                      ///< Limits.
-	std::atomic<int> open{0};                 ///< Connections.
-	std::unique_ptr<CallerListener> listener; ///< The listener.
-	std::vector<QPointer<CallerLink>> links;  ///< Connections, some gone.
-	quint16 port = 0;                         ///< Its port.
+	FixedResponseHandler handler;             ///< Answers the requests.
+	CallerLimits limits;                      ///< Limits of connections.
+	std::atomic<int> open{0};                 ///< Number of open connections.
+	std::unique_ptr<CallerListener> listener; ///< Accepts connections.
+	std::vector<QPointer<CallerLink>> links;  ///< Connections accepted so far; null once closed.
+	quint16 port = 0;                         ///< Port of the listener.
 };
 
-/** The entry's request path with one lane. */
+/** Entry with one lane. */
 class EntryUnderTest {
 public:
 	explicit EntryUnderTest(quint16 endpoint)
@@ -151,13 +150,13 @@
 	}
 
 private:
-	AnyCaller credentials;   ///< Who may call.
-	RequestPath path;        ///< The request path.
-	Lane lane;               ///< The one lane.
-	CallerListener listener; ///< Callers connect here; on the main thread.
+	AnyCaller credentials;   ///< Credentials that accept every caller.
+	RequestPath path;        ///< Request path under test.
+	Lane lane;               ///< Thread that handles the connections.
+	CallerListener listener; ///< Accepts connections, on the thread that created this.
 };
 
-/** A caller's connection that sends one request after the other. */
+/** A caller's connection with at most one request under way. */
 class LoadConnection : public QObject, public ResponseHandler {
 public:
 	LoadConnection(quint16 port, std::vector<double> &latencies) : latencies(latencies)
@@ -173,7 +172,7 @@
 		this->bytes = WriteRequest(request, "127.0.0.1");
 	}
 
-	/** Sends a request, if none is under way. */
+	/** Sends a request unless one is under way. */
 	void Send()
 	{
 		if (this->reader) {
@@ -189,16 +188,16 @@
 	void OnHead(ResponseHead head) override { this->status_ok = head.status == STATUS_OK; }
 	void OnBody(std::string_view) override {}
 
-	bool continuous = true; ///< Whether the next request follows at once.
-	uint64_t failures = 0;  ///< Answers that were no 200.
+	bool continuous = true; ///< Whether the next request is sent as soon as an answer is complete.
+	uint64_t failures = 0;  ///< Answers with a status other than 200.
 
 private:
-	QTcpSocket socket;                      ///< The connection.
-	std::string bytes;                      ///< The request.
-	std::vector<double> &latencies;         ///< Takes latencies in microseconds.
-	std::unique_ptr<ResponseReader> reader; ///< Reads the answer under way.
-	Clock::time_point request_begin;        ///< When the request was sent.
-	bool status_ok = false;                 ///< Whether the answer is a 200.
+	QTcpSocket socket;                      ///< Connection to the port under load.
+	std::string bytes;                      ///< Encoded request.
+	std::vector<double> &latencies;         ///< Collects latencies in microseconds.
+	std::unique_ptr<ResponseReader> reader; ///< Parser of the answer under way, null for none.
+	Clock::time_point request_begin;        ///< Time at which the request was sent.
+	bool status_ok = false;                 ///< Whether the answer under way has status 200.
 
 	void OnReadable()
 	{
@@ -220,12 +219,12 @@
 	}
 };
 
-/** What a load showed. */
+/** Result of a load run. */
 struct LoadResult {
-	double per_second = 0; ///< Requests a second.
-	double p50 = 0;        ///< Microseconds.
-	double p99 = 0;        ///< Microseconds.
-	uint64_t failures = 0; ///< Answers that were no 200.
+	double per_second = 0; ///< Requests per second.
+	double p50 = 0;        ///< Median latency, microseconds.
+	double p99 = 0;        ///< 99th percentile of the latency, microseconds.
+	uint64_t failures = 0; ///< Answers with a status other than 200.
 };
 
 double QuantileOf(std::vector<double> &sorted, double share)
@@ -235,7 +234,7 @@
 											sorted.size() - 1)];
 }
 
-/** Loads a port; `rate` 0 sends as fast as answers come. */
+/** Sends requests to a port, `rate` per second; for rate 0 each connection sends again upon every answer. */
 LoadResult RunLoad(quint16 port, int connections, double rate, std::chrono::milliseconds span)
 {
 	EventLoopThread loop;
@@ -281,7 +280,7 @@
 	return result;
 }
 
-/** Memory that a thousand idle connections of callers take, both ends being in this process. */
+/** @return Memory of IDLE_CONNECTIONS idle connections in bytes; both ends are in this process and counted. */
 double IdleConnectionBytes(quint16 port)
 {
 	EventLoopThread loop;
@@ -306,7 +305,7 @@
 {
 	const std::chrono::milliseconds span(options.quick ? 200 : 2000);
 	FixedResponseEndpoint endpoint;
-	/* The listener of the entry lives here, so the load runs while this thread turns its event loop. */
+	/* The entry's listener needs a running event loop, which this thread does not have while it waits in RunLoad(). */
 	EventLoopThread entry_loop;
 	std::unique_ptr<EntryUnderTest> entry;
 	entry_loop.Run([&] { entry = std::make_unique<EntryUnderTest>(endpoint.Port()); });
--- a/src/bench/simulated_fleet.h
+++ b/src/bench/simulated_fleet.h
@@ -1,5 +1,4 @@
-/** @file simulated_fleet.h A generated fleet and its script of events: what the fold and the planner are stepped over.
- */
+/** @file simulated_fleet.h A simulated fleet with random failures, restarts and table changes. */
 #ifndef SIMULATED_FLEET_H
 #define SIMULATED_FLEET_H
 
@@ -11,111 +10,111 @@
 #include <map>
 #include <vector>
 
-/** Sizes and rates of a deployment. */
+/** Sizes and event rates of a deployment. */
 struct FleetPreset {
-	std::string name;                      ///< Name.
+	std::string name;                      ///< Name of the preset.
 	uint32_t zones = 4;                    ///< Availability zones.
-	uint32_t racks_per_zone = 4;           ///< Racks in each.
-	uint32_t boxes = 50;                   ///< Boxes, spread over the racks.
-	uint32_t pools = 5;                    ///< Pools, one service each.
+	uint32_t racks_per_zone = 4;           ///< Racks in each zone.
+	uint32_t boxes = 50;                   ///< Boxes, spread evenly over the racks.
+	uint32_t pools = 5;                    ///< Pools, with one service each.
 	uint32_t teams = 10;                   ///< Teams with quotas.
 	uint32_t slots = 8;                    ///< Slots of a box.
-	Guard guard = Guard::GD_ZONE;          ///< What floors must survive.
-	uint32_t floors_percent = 52;          ///< Sum of all floors against all slots.
-	double failures_per_day = 0.6;         ///< Boxes that fail.
-	double restarts_per_day = 4.6;         ///< Boxes that are restarted by others.
-	double rack_losses_per_day = 1.0 / 45; ///< Racks lost for some hours.
-	double zone_losses_per_day = 1.0 / 60; ///< Zones lost for some hours.
-	double table_changes_per_day = 20;     ///< Cells changed.
+	Guard guard = Guard::GD_ZONE;          ///< Failure domain whose loss the floors must survive.
+	uint32_t floors_percent = 52;          ///< Sum of all floors in percent of all slots.
+	double failures_per_day = 0.6;         ///< Boxes that fail and stay down for hours.
+	double restarts_per_day = 4.6;         ///< Boxes that restart without an order by the planner.
+	double rack_losses_per_day = 1.0 / 45; ///< Racks that go down for some hours.
+	double zone_losses_per_day = 1.0 / 60; ///< Zones that go down for some hours.
+	double table_changes_per_day = 20;     ///< Changes of cells in the service table.
 	double jobs_per_day = 400;             ///< Jobs accepted.
-	bool lindeboom_policy = false;         ///< Which weights the planner uses.
+	bool lindeboom_policy = false; ///< Whether the planner uses LindeboomPolicy() instead of GreenhousePolicy().
 };
 
 /**
  * @param name greenhouse, lindeboom or letter1.
- * @return Its sizes and rates.
+ * @return Sizes and rates; the greenhouse values for other names.
  */
 FleetPreset PresetByName(const std::string &name);
 
-/** Random numbers of a run: the same seed gives the same run, on every machine. */
+/** Random numbers of a simulation. Boost's distributions give the same numbers for a seed on every platform. */
 class RandomSource {
 public:
 	explicit RandomSource(uint64_t seed) : random(seed) {}
 
-	/** @return A whole number from 0 to `below` - 1. */
+	/** @return Uniformly distributed integer from 0 to `below` - 1. */
 	uint64_t UniformBelow(uint64_t below);
 
-	/** @return Whether an event of a rate per day happens within a step. */
+	/** @return Whether an event with a daily rate occurs within a step; at most one is counted. */
 	bool EventOccurs(double per_day, Millis step);
 
-	/** @return A span around a mean, exponentially distributed. */
+	/** @return Exponentially distributed time span with a given mean. */
 	Millis ExponentialSpan(Millis mean);
 
 private:
-	boost::random::mt19937_64 random; ///< The generator.
+	boost::random::mt19937_64 random; ///< Generator of the numbers.
 };
 
-/** The boxes as they really are, and as the platform lists them. */
+/** The actual state of all boxes, as the platform lists them. */
 class SimulatedFleet {
 public:
 	/**
-	 * @param preset Sizes and rates.
-	 * @param seed Seed.
+	 * @param preset Sizes and event rates.
+	 * @param seed Random seed.
 	 */
 	SimulatedFleet(const FleetPreset &preset, uint64_t seed);
 
 	/**
-	 * Lets time pass: boxes fail and come back, racks and zones are lost.
+	 * Advances the simulation: boxes, racks and zones go down and come back.
 	 * @param now Virtual time.
-	 * @param step Time since the last call.
+	 * @param step Time since the previous call.
 	 */
 	void Step(Millis now, Millis step);
 
 	/**
-	 * A reboot was ordered.
-	 * @param box The box.
-	 * @param permit Its permit.
+	 * Reboots a box; ignored for an unknown box and for a permit that was used already.
+	 * @param box Box to reboot.
+	 * @param permit Permit of the reboot.
 	 * @param now Virtual time.
 	 */
 	void Reboot(const BoxName &box, PermitId permit, Millis now);
 
-	/** @return The platform's list. */
+	/** @return All boxes as the platform lists them. */
 	[[nodiscard]] std::vector<ListedBox> List() const;
 
-	/** @return The first table. */
+	/** @return Initial contents of the service table. */
 	[[nodiscard]] TableEdit InitialTable() const;
 
 	/**
-	 * A change of the table that may come within a step.
-	 * @param fleet The state.
-	 * @param step The step.
-	 * @return The edit, without cells when none comes.
+	 * Draws the table changes of a step.
+	 * @param fleet Current state.
+	 * @param step Length of the step.
+	 * @return Edit of the table, without cells if nothing changes.
 	 */
 	TableEdit RandomTableEdit(const FleetState &fleet, Millis step);
 
-	RandomSource rng; ///< Random numbers of the script.
+	RandomSource rng; ///< Random numbers of the events.
 
 private:
-	/** A box as it really is. */
+	/** A box and its actual state. */
 	struct SimulatedBox {
-		ListedBox listed;       ///< As listed.
-		Millis down_until;      ///< Failed or rebooting until then.
-		PermitId reboot_permit; ///< Permit of the reboot under way.
-		Millis repaired_at;     ///< When a box that failed its checks passes them again.
+		ListedBox listed;       ///< Box as the platform lists it.
+		Millis down_until;      ///< End of the outage or reboot.
+		PermitId reboot_permit; ///< Permit of the reboot under way, empty for none.
+		Millis repaired_at;     ///< Time at which a box that failed its checks passes them again.
 	};
 
-	FleetPreset preset;                   ///< Sizes and rates.
-	std::vector<SimulatedBox> boxes;      ///< All boxes.
-	std::vector<uint32_t> initial_floors; ///< Floors of the first table, by pool.
+	FleetPreset preset;                   ///< Sizes and event rates.
+	std::vector<SimulatedBox> boxes;      ///< Boxes in the order of their names.
+	std::vector<uint32_t> initial_floors; ///< Floors in the initial table, by pool.
 
 	void TakeDown(Millis until, const std::vector<size_t> &indices);
 	[[nodiscard]] std::vector<size_t> BoxesIn(const ZoneName &zone, const RackName *rack) const;
 };
 
-/** @return Name of a pool of a generated fleet. */
+/** @return Name of the pool with index `n`. */
 std::string PoolNameOf(uint32_t n);
 
-/** @return Name of a service of a generated fleet. */
+/** @return Name of the service with index `n`. */
 std::string ServiceNameOf(uint32_t n);
 
 #endif /* SIMULATED_FLEET_H */
--- a/src/bench/slots_bench.cpp
+++ b/src/bench/slots_bench.cpp
@@ -1,4 +1,4 @@
-/** @file slots_bench.cpp Shares of 8 slots among 2, 3 and 9 entries under skew, against one omniscient queue. */
+/** @file slots_bench.cpp Sharing of slots among 2, 3 and 9 entries under skewed load, compared with a single queue. */
 #include "bench_output.h"
 #include "simulated_fleet.h"
 
@@ -11,30 +11,30 @@
 namespace {
 
 constexpr uint32_t ENDPOINTS = 10;         ///< Endpoints of the pool.
-constexpr uint32_t SLOTS = 8;              ///< Slots of each.
-constexpr Millis SERVICE_TIME_MEAN(40);    ///< Mean time of a request.
-constexpr Millis MESSAGE_DELAY(1);         ///< Time of a message between entries.
-constexpr Millis BROKER_TICK(20);          ///< Tick of brokers.
-constexpr Millis HOT_ENTRY_INTERVAL(2000); ///< Time after which the load shifts to other entries.
-constexpr Millis DEADLINE(60000);          ///< Requests wait as long as they must: capacity is what is measured.
-constexpr size_t QUEUE_LIMIT(512);         ///< Longest queue of an entry.
+constexpr uint32_t SLOTS = 8;              ///< Slots of an endpoint.
+constexpr Millis SERVICE_TIME_MEAN(40);    ///< Mean time that an endpoint spends on a request.
+constexpr Millis MESSAGE_DELAY(1);         ///< Delay of a message between entries.
+constexpr Millis BROKER_TICK(20);          ///< Time between two ticks of a broker and its gates.
+constexpr Millis HOT_ENTRY_INTERVAL(2000); ///< Time after which another entry gets most of the load.
+constexpr Millis DEADLINE(60000);          ///< Longer than a run: no request expires, as capacity is measured.
+constexpr size_t QUEUE_LIMIT(512);         ///< Longest queue of a gate.
 
 /** How entries share slots. */
 enum class SlotSharing : uint8_t {
-	SH_LENDING,   ///< Shares that are lent.
-	SH_STATIC,    ///< Shares that stay.
-	SH_ONE_QUEUE, ///< One queue that knows everything.
+	SH_LENDING,   ///< Entries lend idle slots to each other.
+	SH_STATIC,    ///< Each entry uses only its own slots.
+	SH_ONE_QUEUE, ///< A single queue for the load of all entries.
 };
 
 /** Result of a run. */
 struct SlotsResult {
-	double used_share = 0;      ///< Share of the slots in use, mean.
-	double messages = 0;        ///< Messages a second, of all entries.
-	uint64_t peak_requests = 0; ///< Most requests on one endpoint at once.
-	double wait_ms = 0;         ///< Mean wait for a slot.
+	double used_share = 0;      ///< Mean share of slots in use.
+	double messages = 0;        ///< Messages per second between all entries.
+	uint64_t peak_requests = 0; ///< Most concurrent requests on an endpoint.
+	double wait_ms = 0;         ///< Mean time that a request waits for a slot.
 };
 
-/** Entries that share endpoints. */
+/** Simulates entries that share the slots of endpoints. */
 class SlotSharingSimulation : public SlotTransport {
 public:
 	SlotSharingSimulation(uint32_t entries, SlotSharing sharing, uint64_t seed) : sharing(sharing), rng(seed)
@@ -49,7 +49,7 @@
 
 	SlotsResult Run(Millis span, double load)
 	{
-		this->clock.RunUntil(Millis(10000)); /* Until shares have settled. */
+		this->clock.RunUntil(Millis(10000)); /* Wait until the slot shares are stable. */
 		this->begin = this->clock.Now();
 		this->Tick();
 		this->MoveHotEntry();
@@ -80,25 +80,25 @@
 	}
 
 private:
-	/** An entry. */
+	/** A simulated entry. */
 	struct Node {
-		MemberName name;                    ///< Its name.
-		std::unique_ptr<RouteTable> routes; ///< Its gates.
-		std::unique_ptr<SlotBroker> broker; ///< Lends and borrows.
+		MemberName name;                    ///< Name of the entry.
+		std::unique_ptr<RouteTable> routes; ///< Routes and gates of the entry.
+		std::unique_ptr<SlotBroker> broker; ///< Lends and borrows slots.
 	};
 
 	SlotSharing sharing;                      ///< How slots are shared.
-	RandomSource rng;                         ///< Random numbers.
-	VirtualScheduler clock;                   ///< The clock.
-	std::vector<std::unique_ptr<Node>> nodes; ///< Entries.
-	uint32_t caller_entries = 1;              ///< Entries that callers know.
-	uint32_t hot_entry = 0;                   ///< Entry that gets most of the load.
-	std::map<BoxName, uint64_t> running;      ///< Requests per endpoint.
-	uint64_t peak_requests = 0;               ///< Most on one endpoint.
-	double busy_ms = 0;                       ///< Slot time used.
-	double wait_sum = 0;                      ///< Waits.
-	uint64_t waits = 0;                       ///< Number of them.
-	Millis begin;                             ///< Start of the measurement.
+	RandomSource rng;                         ///< Random numbers of arrivals and service times.
+	VirtualScheduler clock;                   ///< Virtual clock.
+	std::vector<std::unique_ptr<Node>> nodes; ///< Entries; a single one for SH_ONE_QUEUE.
+	uint32_t caller_entries = 1;              ///< Number of entries that the load is generated for.
+	uint32_t hot_entry = 0;                   ///< Index of the entry that gets most of the load.
+	std::map<BoxName, uint64_t> running;      ///< Current requests by endpoint.
+	uint64_t peak_requests = 0;               ///< Most concurrent requests on an endpoint.
+	double busy_ms = 0;                       ///< Sum of service times.
+	double wait_sum = 0;                      ///< Sum of the waits for slots, ms.
+	uint64_t waits = 0;                       ///< Number of waits in `wait_sum`.
+	Millis begin;                             ///< Start time of the measurement.
 
 	void Add(uint32_t i)
 	{
@@ -146,7 +146,7 @@
 
 	void SubmitRequests(double load)
 	{
-		/* `load` of all slots, as arrivals: four fifths to the hot entry. */
+		/* The arrival rate that keeps the share `load` of all slots busy; at least four fifths go to the hot entry. */
 		const double per_ms = load * ENDPOINTS * SLOTS / static_cast<double>(SERVICE_TIME_MEAN.Value());
 		const auto whole = static_cast<uint64_t>(per_ms);
 		const uint64_t extra =
--- a/src/bench/strategy.cpp
+++ b/src/bench/strategy.cpp
@@ -1,11 +1,11 @@
-/** @file strategy.cpp Ways to run a fleet. */
+/** @file strategy.cpp Strategies for planning a fleet. */
 #include "strategy.h"
 
 #include <algorithm>
 
 namespace {
 
-/** Our planner. */
+/** The glademount planner. */
 class FleetPlanner : public Strategy {
 public:
 	explicit FleetPlanner(const PlannerPolicy &weights) { this->policy = weights; }
@@ -16,7 +16,7 @@
 	}
 };
 
-/** What the baselines have in common: registration, steps under permits, greedy grants. */
+/** Common part of the baselines: registration, steps under permits, greedy grants of maintenance permits. */
 class Baseline : public Strategy {
 public:
 	std::vector<Proposal> Step(const FleetState &fleet, const PlannerInputs &inputs) override
@@ -32,12 +32,12 @@
 	}
 
 protected:
-	size_t max_planned_down = SIZE_MAX; ///< Boxes of the fleet that may be down by plan at once.
+	size_t max_planned_down = SIZE_MAX; ///< Most boxes of the fleet in maintenance at once.
 
-	/** Chooses the pool of a box that is new. */
+	/** @return Pool for a new box. */
 	virtual PoolName ChoosePool(PoolDraft &draft) = 0;
 
-	/** Moves boxes between pools. */
+	/** @return Permits to move boxes between pools. */
 	virtual std::vector<Proposal> Rebalance(PoolDraft &draft) = 0;
 
 	static size_t CountMoving(const PoolDraft &draft)
@@ -52,7 +52,7 @@
 private:
 	std::vector<Proposal> Register(const FleetState &fleet, const PlannerInputs &inputs)
 	{
-		/* Our own registration, with another choice of the pool. */
+		/* The planner's registration, except for the choice of the pool. */
 		std::vector<Proposal> proposals = PlanList(fleet, inputs.list);
 		PoolDraft draft = PoolModelsOf(fleet);
 		for (Proposal &it : proposals) {
@@ -98,7 +98,7 @@
 	}
 };
 
-/** Pools as equal as can be. */
+/** Assigns new boxes to the smallest pool; moves boxes only to pools that miss their floors. */
 class EvenSplit : public Baseline {
 public:
 	[[nodiscard]] const char *Name() const override { return "even_split"; }
@@ -109,7 +109,7 @@
 		return std::ranges::min_element(draft, {}, [](const auto &it) { return it.second.boxes.size(); })->first;
 	}
 
-	/** Moves a box from the largest pool that can give to one that misses its floor and guards. */
+	/** Moves a box from the largest pool that can spare one to a pool that misses its floors; one move at a time. */
 	std::vector<Proposal> Rebalance(PoolDraft &draft) override
 	{
 		std::vector<Proposal> proposals;
@@ -141,7 +141,7 @@
 	}
 };
 
-/** Boxes to the first pool that lacks one. */
+/** Assigns new boxes to the first pool with less than one and a half times its floors. */
 class FirstFit : public EvenSplit {
 public:
 	[[nodiscard]] const char *Name() const override { return "first_fit"; }
@@ -160,7 +160,7 @@
 	}
 };
 
-/** One box of the fleet at a time. */
+/** Maintains one box of the fleet at a time. */
 class OneAtATime : public EvenSplit {
 public:
 	OneAtATime() { this->max_planned_down = 1; }
--- a/src/bench/synthetic_log.cpp
+++ b/src/bench/synthetic_log.cpp
@@ -1,12 +1,12 @@
-/** @file synthetic_log.cpp A log as a fleet of a given size would have written it. */
+/** @file synthetic_log.cpp Generates a log for a fleet of a given size. */
 #include "synthetic_log.h"
 
 namespace {
 
-constexpr Millis START_TIME(1700000000000); ///< Log's clock at the first record.
-constexpr uint64_t JOBS_PER_RECORD = 4;     ///< Jobs accepted in a record: group commit.
+constexpr Millis START_TIME(1700000000000); ///< Time stamp of the first record.
+constexpr uint64_t JOBS_PER_RECORD = 4;     ///< Jobs accepted in a record; several, as with group commit.
 
-/** Writes records. */
+/** Generates the records. */
 class SyntheticLogWriter {
 public:
 	SyntheticLogWriter(const SyntheticSize &size, uint64_t seed) : size(size), rng(seed) {}
@@ -21,13 +21,13 @@
 	}
 
 private:
-	SyntheticSize size;          ///< Sizes.
-	RandomSource rng;            ///< Random numbers.
-	std::vector<LogRecord> log;  ///< Records so far.
-	BatchT batch;                ///< Record being filled.
-	uint64_t sequence = 0;       ///< Last proposal.
-	uint64_t jobs = 0;           ///< Jobs accepted.
-	uint64_t cancelled_jobs = 0; ///< Jobs ended.
+	SyntheticSize size;          ///< Size of the fleet.
+	RandomSource rng;            ///< Random numbers of the changes.
+	std::vector<LogRecord> log;  ///< Records generated so far.
+	BatchT batch;                ///< Contents of the next record.
+	uint64_t sequence = 0;       ///< Sequence number of the last proposal.
+	uint64_t jobs = 0;           ///< Number of jobs accepted.
+	uint64_t cancelled_jobs = 0; ///< Number of jobs cancelled, oldest first.
 
 	template <class T>
 	void Add(T change)
--- a/src/bench/synthetic_log.h
+++ b/src/bench/synthetic_log.h
@@ -1,31 +1,31 @@
-/** @file synthetic_log.h A log as a fleet of a given size would have written it. */
+/** @file synthetic_log.h Generates a log for a fleet of a given size. */
 #ifndef SYNTHETIC_LOG_H
 #define SYNTHETIC_LOG_H
 
 #include "simulated_fleet.h"
 
-/** Sizes of a fleet's state. */
+/** Size of the fleet of a generated log. */
 struct SyntheticSize {
 	uint32_t boxes = 50;  ///< Boxes.
 	uint32_t pools = 5;   ///< Pools, one service each.
 	uint32_t teams = 10;  ///< Teams.
 	uint32_t zones = 4;   ///< Availability zones.
 	uint32_t entries = 8; ///< Entries.
-	uint32_t jobs = 200;  ///< Jobs remembered at once.
+	uint32_t jobs = 200;  ///< Most jobs accepted and not cancelled.
 };
 
 /**
- * @param preset A preset.
- * @return Its sizes.
+ * @param preset Preset of a deployment.
+ * @return Size of its log; three entries per zone.
  */
 SyntheticSize SyntheticSizeOf(const FleetPreset &preset);
 
 /**
- * Makes a log: set-up, then changes of all kinds in the proportions of an ordinary day.
- * @param size Sizes.
- * @param records Records after the set-up.
- * @param seed Seed.
- * @return The records.
+ * Generates a log: initial records, then random cell changes, maintenance permits and job records.
+ * @param size Size of the fleet.
+ * @param records Number of records after the initial ones.
+ * @param seed Random seed.
+ * @return All records, in the order of the log.
  */
 std::vector<LogRecord> SyntheticLog(const SyntheticSize &size, size_t records, uint64_t seed);
 
