--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp glade_bench: load and experiment tool. Decision benches run on a virtual clock and are exact. */
+/** @file main.cpp glade_bench: benchmarks. Those of decisions run on a virtual clock and are reproducible. */
 #include "../program/program.h"
 #include "bench_output.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr const char *USAGE = R"(glade_bench: measures glademount and prints JSON lines
+constexpr const char *USAGE = R"(glade_bench: runs benchmarks of glademount and prints their figures as JSON lines
 
 Usage:
   glade_bench (maintain|optimum|fold|jobs|config|overload|slots|proxy|fleet|capacity) [options]
@@ -18,25 +18,26 @@
 
 Options:
   --preset NAME   greenhouse, lindeboom or letter1 [default: greenhouse].
-  --seed N        Seed; the same seed gives the same bytes but for times measured [default: 1].
-  --seeds N       Number of seeds, from --seed on [default: 1].
-  --quick         Small sizes: shows that the bench works.
-  --page FILE     With capacity: writes the tables into this page.
-  -h --help       Show this.
+  --seed N        Random seed; the same seed gives the same figures, except for measured times [default: 1].
+  --seeds N       Number of consecutive seeds, starting at --seed [default: 1].
+  --quick         Small sizes, for a smoke test.
+  --page FILE     With capacity: page to write the tables into.
+  -h --help       Show this help.
   --version       Show the version.
 )";
 
-/** A bench by name. */
-struct BenchEntry {
-	const char *name;                 ///< Its word on the command line.
-	int (*run)(const BenchOptions &); ///< Runs it.
+/** Command-line name and function of a benchmark. */
+struct BenchCommand {
+	const char *name;                 ///< Command-line word.
+	int (*run)(const BenchOptions &); ///< Runs the benchmark; returns the exit code.
 };
 
-constexpr std::array _benches = {BenchEntry{"maintain", RunMaintainBench}, BenchEntry{"optimum", RunOptimumBench},
-								 BenchEntry{"fold", RunFoldBench},         BenchEntry{"jobs", RunJobsBench},
-								 BenchEntry{"config", RunConfigBench},     BenchEntry{"overload", RunOverloadBench},
-								 BenchEntry{"slots", RunSlotsBench},       BenchEntry{"proxy", RunProxyBench},
-								 BenchEntry{"fleet", RunHolderBench},      BenchEntry{"capacity", RunCapacityBench}};
+constexpr std::array _benches = {
+		BenchCommand{"maintain", RunMaintainBench}, BenchCommand{"optimum", RunOptimumBench},
+		BenchCommand{"fold", RunFoldBench},         BenchCommand{"jobs", RunJobsBench},
+		BenchCommand{"config", RunConfigBench},     BenchCommand{"overload", RunOverloadBench},
+		BenchCommand{"slots", RunSlotsBench},       BenchCommand{"proxy", RunProxyBench},
+		BenchCommand{"fleet", RunFleetOwnerBench},  BenchCommand{"capacity", RunCapacityBench}};
 
 } // namespace
 
@@ -63,7 +64,7 @@
 		std::cerr << Result{ResultCode::RC_USAGE, "--preset: expected greenhouse, lindeboom or letter1"}.Text() << '\n';
 		return static_cast<int>(ExitCode::EC_USAGE);
 	}
-	for (const BenchEntry &it : _benches) {
+	for (const BenchCommand &it : _benches) {
 		if (args[it.name].asBool()) {
 			return it.run(options);
 		}
