--- a/src/standin/endpoint/endpoint_standin.cpp
+++ b/src/standin/endpoint/endpoint_standin.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr int LATE_FACTOR = 10;            ///< How much longer a late answer takes.
-constexpr Millis STREAM_PART_EVERY(20);    ///< Time between two parts of a stream.
+constexpr Millis STREAM_PART_INTERVAL(20); ///< Time between two parts of a stream.
 constexpr size_t STREAM_PART_BYTES = 1024; ///< Bytes of a part.
 
 /** Sends a small whole answer. */
-void Answer(CallerSink &sink, int status, const std::string &body, const char *run = nullptr)
+void SendAnswer(CallerSink &sink, int status, const std::string &body, const char *run = nullptr)
 {
 	ResponseHead head;
 	head.status = status;
@@ -92,14 +92,14 @@
 		if (this->fault == EndpointFault::EF_CLOSE) {
 			this->sink->Abort();
 		} else if (this->fault == EndpointFault::EF_ERROR) {
-			Answer(*this->sink, 500, "{\"error\":\"told to fail\"}\n");
+			SendAnswer(*this->sink, 500, "{\"error\":\"told to fail\"}\n");
 		} else if (this->fault == EndpointFault::EF_HALF || this->fault == EndpointFault::EF_STALL) {
 			this->AnswerHalf();
 		} else if (this->parts_left > 0) {
 			this->sink->Begin(ResponseHead());
 			this->SendPart();
 		} else {
-			Answer(*this->sink, 200, this->Body());
+			SendAnswer(*this->sink, 200, this->Body());
 		}
 	}
 
@@ -125,7 +125,7 @@
 			return;
 		}
 		this->sink->Body(std::string(STREAM_PART_BYTES - 1, 's') + "\n");
-		this->endpoint.scheduler.After(STREAM_PART_EVERY, [self = this->shared_from_this()] { self->SendPart(); });
+		this->endpoint.scheduler.After(STREAM_PART_INTERVAL, [self = this->shared_from_this()] { self->SendPart(); });
 	}
 };
 
@@ -177,7 +177,7 @@
 		this->fault = static_cast<EndpointFault>(query.queryItemValue("kind").toInt());
 		this->fault_left = query.queryItemValue("count").toLongLong();
 	}
-	Answer(sink, 200, QJsonDocument(this->Dump()).toJson(QJsonDocument::Compact).toStdString() + "\n");
+	SendAnswer(sink, 200, QJsonDocument(this->Dump()).toJson(QJsonDocument::Compact).toStdString() + "\n");
 }
 
 std::shared_ptr<ServedRequest> EndpointStandin::Serve(CallerSink &sink, CallerRequest request)
@@ -189,7 +189,7 @@
 	const EndpointFault now = this->NextFault();
 	if (this->running >= this->settings.Number("slots") || now == EndpointFault::EF_NOT_RUN) {
 		this->refused++;
-		Answer(sink, 503, "{\"error\":\"no slot\"}\n", "no");
+		SendAnswer(sink, 503, "{\"error\":\"no slot\"}\n", "no");
 		return nullptr;
 	}
 	auto run = std::make_shared<EndpointRun>(*this, sink, std::move(request), now);
--- a/src/standin/memory/box_site.cpp
+++ b/src/standin/memory/box_site.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr Millis ONE_WAY(1);          ///< From a node to a box.
-constexpr Millis LATE_BY(3000);       ///< An order that is carried out late comes after this.
-constexpr Millis PATIENCE(350);       ///< An order without an answer has failed after this.
-constexpr Millis POLL_EVERY(5);       ///< A waiting answer looks for an end so often.
-constexpr Millis CANCEL_WITHIN(3000); ///< Nothing of a cancelled job starts later than this.
-constexpr Millis SHRUNK_COUNTS(4500); ///< A room that has shrunk binds after this: 3 s and one report.
-constexpr uint32_t CRASHES_MAX = 3;   ///< After so many crashes under a task its starts are counted,
-constexpr uint32_t BEYOND_MAX = 3;    ///< and with so many starts more a rule is broken.
-constexpr uint32_t CRASHES_CAUSE = 2; ///< A task under which so many boxes have crashed may be given up.
+constexpr Millis ONE_WAY_LATENCY(1);             ///< From a node to a box.
+constexpr Millis LATE_DELAY(3000);               ///< An order that is carried out late comes after this.
+constexpr Millis ORDER_TIMEOUT(350);             ///< An order without an answer has failed after this.
+constexpr Millis POLL_INTERVAL(5);               ///< A waiting answer looks for an end so often.
+constexpr Millis CANCEL_GRACE(3000);             ///< Nothing of a cancelled job starts later than this.
+constexpr Millis SHRINK_GRACE(4500);             ///< A room that has shrunk binds after this: 3 s and one report.
+constexpr uint32_t CRASHES_BEFORE_LIMIT = 3;     ///< After so many crashes under a task its starts are counted,
+constexpr uint32_t MAX_STARTS_AFTER_CRASHES = 3; ///< and with so many starts more a rule is broken.
+constexpr uint32_t CRASHES_TO_FAIL = 2;          ///< A task under which so many boxes have crashed may be given up.
 
 } // namespace
 
@@ -37,8 +37,8 @@
 	Box &box = this->boxes.at(name);
 	this->LoseRuns(box);
 	BoxReport report = box.report;
-	if (!this->keeps_id) {
-		report.incarnation.id = BoxId(name.Value() + "-life" + std::to_string(++this->lives));
+	if (!this->keep_box_id) {
+		report.incarnation.id = BoxId(name.Value() + "-life" + std::to_string(++this->new_box_ids));
 	}
 	report.incarnation.started = this->clock.WallNow() - this->wall_clock_lag;
 	box = Box{};
@@ -51,14 +51,14 @@
 {
 	for (const auto &[task, run] : box.running) {
 		this->clock.Cancel(run.timer);
-		this->crashed_under[task]++;
+		this->crashes_by_task[task]++;
 	}
 	const std::map<TaskId, Run> lost = std::exchange(box.running, {});
 	this->clock.Cancel(box.lease_timer);
-	std::ranges::for_each(lost | std::views::keys, [this](const TaskId &it) { this->BreakGang(it); });
+	std::ranges::for_each(lost | std::views::keys, [this](const TaskId &it) { this->EndGang(it); });
 }
 
-void BoxSite::BreakGang(const TaskId &lost)
+void BoxSite::EndGang(const TaskId &lost)
 {
 	const auto job = this->jobs.find(lost.job);
 	if (job == this->jobs.end() || !job->second.spec.steps[lost.step].gang) {
@@ -96,7 +96,7 @@
 void BoxSite::Resize(const BoxName &name, const Resources &room)
 {
 	Box &box = this->boxes.at(name);
-	box.room_before = std::exchange(box.report.capacity, room);
+	box.capacity_before = std::exchange(box.report.capacity, room);
 	box.resized_at = this->clock.Now();
 }
 
@@ -106,8 +106,8 @@
 	const auto reached = [&id](uint32_t most) {
 		return [&id, most](const auto &it) { return it.first.job == id && it.second >= most; };
 	};
-	return std::ranges::any_of(this->failed, reached(job.failures_max)) ||
-		   std::ranges::any_of(this->crashed_under, reached(CRASHES_CAUSE));
+	return std::ranges::any_of(this->failures, reached(job.failures_max)) ||
+		   std::ranges::any_of(this->crashes_by_task, reached(CRASHES_TO_FAIL));
 }
 
 std::vector<BoxReport> BoxSite::Reports() const
@@ -132,45 +132,45 @@
 	return it == this->boxes.end() || it->second.report.incarnation.id != report.incarnation.id ? nullptr : &it->second;
 }
 
-OrderAnswer BoxSite::Plain(const Box *box, OrderOutcome outcome) const
+OrderAnswer BoxSite::MakeAnswer(const Box *box, OrderOutcome outcome) const
 {
 	return OrderAnswer{outcome, box == nullptr ? std::nullopt : std::optional(this->ClockOf(*box)), std::nullopt};
 }
 
-void BoxSite::Violation(const std::string &rule, const TaskId &task)
+void BoxSite::AddViolation(const std::string &rule, const TaskId &task)
 {
 	this->violations.push_back(rule + ": " + task.job.Value() + "." + std::to_string(task.step) + "." +
 							   std::to_string(task.index) + " at " + std::to_string(this->clock.Now().Value()));
 }
 
-void BoxSite::Judge(const Box &box, const StartOrder &order)
+void BoxSite::CheckStart(const Box &box, const StartOrder &order)
 {
 	const auto known = this->jobs.find(order.task.job);
 	if (known == this->jobs.end()) {
-		this->Violation("a job that nobody handed in was started", order.task);
+		this->AddViolation("a job that nobody handed in was started", order.task);
 		return;
 	}
 	const SiteJob &job = known->second;
 	const StepSpec &step = job.spec.steps.at(order.task.step);
 	if (order.payload != job.spec.payload) {
-		this->Violation("started with another payload", order.task);
+		this->AddViolation("started with another payload", order.task);
 	}
 	if (job.service != box.report.service) {
-		this->Violation("started on a box of another service", order.task);
+		this->AddViolation("started on a box of another service", order.task);
 	}
-	if (job.cancelled_at && this->clock.Now() > *job.cancelled_at + CANCEL_WITHIN) {
-		this->Violation("started after its cancellation", order.task);
+	if (job.cancelled_at && this->clock.Now() > *job.cancelled_at + CANCEL_GRACE) {
+		this->AddViolation("started after its cancellation", order.task);
 	}
-	if (this->done_noted.contains(order.task) && !step.lasting) {
-		this->Violation("started after an end that was noted as good", order.task);
+	if (this->done_acknowledged.contains(order.task) && !step.lasting) {
+		this->AddViolation("started after an end that was noted as good", order.task);
 	}
-	if (!step.lasting && this->failures_noted[order.task] >= job.failures_max) {
-		this->Violation("started after too many failures", order.task);
+	if (!step.lasting && this->failures_acknowledged[order.task] >= job.failures_max) {
+		this->AddViolation("started after too many failures", order.task);
 	}
-	this->JudgeCrasher(job, order.task);
+	this->CheckCrashLimit(job, order.task);
 	for (const Box &other : this->boxes | std::views::values) {
 		if (other.running.contains(order.task)) {
-			this->Violation("two runs at once", order.task);
+			this->AddViolation("two runs at once", order.task);
 		}
 	}
 	for (const uint32_t before : step.after) {
@@ -178,31 +178,32 @@
 			it.step = before;
 			it.index = index;
 			if (!this->done.contains(it)) {
-				this->Violation("started before an earlier step had ended", order.task);
+				this->AddViolation("started before an earlier step had ended", order.task);
 			}
 		}
 	}
 }
 
-void BoxSite::JudgeCrasher(const SiteJob &job, const TaskId &task)
+void BoxSite::CheckCrashLimit(const SiteJob &job, const TaskId &task)
 {
 	const bool crasher = task.step == 0 && job.crashing_tasks.contains(task.index);
-	if (crasher && this->crashed_under[task] >= CRASHES_MAX && ++this->beyond_crashes[task] == BEYOND_MAX) {
-		this->Violation("started three times more after three boxes had crashed under it", task);
+	if (crasher && this->crashes_by_task[task] >= CRASHES_BEFORE_LIMIT &&
+		++this->starts_after_crashes[task] == MAX_STARTS_AFTER_CRASHES) {
+		this->AddViolation("started three times more after three boxes had crashed under it", task);
 	}
 }
 
-void BoxSite::JudgeRoom(const Box &box, const TaskId &task, const Resources &demand)
+void BoxSite::CheckCapacity(const Box &box, const TaskId &task, const Resources &demand)
 {
 	Resources taken = demand;
 	std::ranges::for_each(box.running | std::views::values, [&taken](const Run &it) { taken += it.room; });
-	const bool binds = this->clock.Now() - box.resized_at >= SHRUNK_COUNTS;
-	if (!box.report.capacity.Holds(taken) && (binds || !box.room_before.Holds(taken))) {
-		this->Violation("started beyond the room of its box", task);
+	const bool binds = this->clock.Now() - box.resized_at >= SHRINK_GRACE;
+	if (!box.report.capacity.Holds(taken) && (binds || !box.capacity_before.Holds(taken))) {
+		this->AddViolation("started beyond the room of its box", task);
 	}
 }
 
-void BoxSite::ProlongLease(Box &box, Millis until)
+void BoxSite::ExtendLease(Box &box, Millis until)
 {
 	const Millis now = this->ClockOf(box);
 	const Millis end = std::min(until, now + this->lease_max);
@@ -211,10 +212,10 @@
 	}
 	box.lease_until = end;
 	this->clock.Cancel(box.lease_timer);
-	box.lease_timer = this->clock.After(end - now, [this, name = box.report.box] { this->Lapse(name); });
+	box.lease_timer = this->clock.After(end - now, [this, name = box.report.box] { this->ExpireLease(name); });
 }
 
-void BoxSite::Lapse(const BoxName &name)
+void BoxSite::ExpireLease(const BoxName &name)
 {
 	std::vector<TaskId> lost;
 	std::ranges::copy(this->boxes.at(name).running | std::views::keys, std::back_inserter(lost));
@@ -235,7 +236,7 @@
 	if (ending == RunEnding::RE_DONE) {
 		this->done.insert(task);
 	} else if (ending == RunEnding::RE_FAILED) {
-		this->failed[task]++;
+		this->failures[task]++;
 	}
 }
 
@@ -243,68 +244,68 @@
 {
 	Box *box = this->Find(report);
 	if (box == nullptr) {
-		return this->Plain(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
+		return this->MakeAnswer(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
 	}
 	if (order.fence < box->fence) {
-		return this->Plain(box, OrderOutcome::OO_FENCED);
+		return this->MakeAnswer(box, OrderOutcome::OO_FENCED);
 	}
 	box->fence = order.fence;
 	const auto there = box->running.find(order.task);
 	if (there != box->running.end() && there->second.run == order.run) {
-		return this->Plain(box, OrderOutcome::OO_DONE);
+		return this->MakeAnswer(box, OrderOutcome::OO_DONE);
 	}
 	if (box->stopped.contains(order.task) && order.run <= box->stopped[order.task]) {
-		this->ProlongLease(*box, order.lease_until);
-		return this->Plain(box, OrderOutcome::OO_RUN_TOO_OLD);
+		this->ExtendLease(*box, order.lease_until);
+		return this->MakeAnswer(box, OrderOutcome::OO_RUN_TOO_OLD);
 	}
 	if (order.lease_until <= this->ClockOf(*box)) {
-		return this->Plain(box, OrderOutcome::OO_LEASE_PAST);
+		return this->MakeAnswer(box, OrderOutcome::OO_LEASE_PAST);
 	}
-	this->ProlongLease(*box, order.lease_until);
+	this->ExtendLease(*box, order.lease_until);
 	const auto job = this->jobs.find(order.task.job);
 	const Resources demand = job == this->jobs.end() ? Resources{} : job->second.spec.steps.at(order.task.step).demand;
 	Resources free = box->report.capacity;
 	std::ranges::for_each(box->running | std::views::values, [&free](const Run &it) { free -= it.room; });
 	if (this->checks_capacity && !free.Holds(demand)) {
-		return this->Plain(box, OrderOutcome::OO_NO_ROOM);
+		return this->MakeAnswer(box, OrderOutcome::OO_NO_ROOM);
 	}
 	if (this->ticket_valid && !this->ticket_valid(report, order)) {
-		return this->Plain(box, OrderOutcome::OO_NO_TICKET);
+		return this->MakeAnswer(box, OrderOutcome::OO_NO_TICKET);
 	}
-	this->Judge(*box, order);
-	this->JudgeRoom(*box, order.task, demand);
+	this->CheckStart(*box, order);
+	this->CheckCapacity(*box, order.task, demand);
 	this->starts++;
 	this->started.insert(order.task.job);
-	this->stopped_away.erase(order.task);
+	this->absent_tasks.erase(order.task);
 	Run run{order.run, demand, TimerId()};
 	if (job != this->jobs.end() && !job->second.spec.steps.at(order.task.step).lasting) {
-		const bool fails = this->failed[order.task] < job->second.fail_first;
+		const bool fails = this->failures[order.task] < job->second.fail_first;
 		run.timer = this->clock.After(job->second.run_time, [this, name = report.box, task = order.task, fails] {
 			this->End(name, task, fails ? RunEnding::RE_FAILED : RunEnding::RE_DONE);
 		});
 	}
 	if (job != this->jobs.end() && order.task.step == 0 && job->second.crashing_tasks.contains(order.task.index)) {
 		this->clock.Cancel(run.timer);
-		run.timer = this->clock.After(job->second.crash_after, [this, name = report.box] { this->Crash(name); });
+		run.timer = this->clock.After(job->second.crash_delay, [this, name = report.box] { this->Crash(name); });
 	}
 	box->running[order.task] = run;
-	return this->Plain(box, OrderOutcome::OO_DONE);
+	return this->MakeAnswer(box, OrderOutcome::OO_DONE);
 }
 
 OrderAnswer BoxSite::Stop(const BoxReport &report, const TaskId &task, RunNumber run, FenceToken fence)
 {
 	Box *box = this->Find(report);
 	if (box == nullptr) {
-		return this->Plain(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
+		return this->MakeAnswer(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
 	}
 	if (fence < box->fence) {
-		return this->Plain(box, OrderOutcome::OO_FENCED);
+		return this->MakeAnswer(box, OrderOutcome::OO_FENCED);
 	}
 	box->fence = fence;
 	box->stopped[task] = std::max(box->stopped[task], run);
 	if (const auto it = box->running.find(task);
 		it != box->running.end() && it->second.run <= run && !std::exchange(it->second.stopping, true)) {
-		this->JudgeStop(*box, task);
+		this->CheckStop(*box, task);
 		this->clock.Cancel(it->second.timer);
 		if (this->stop_delay == Millis(0)) {
 			this->End(report.box, task, RunEnding::RE_STOPPED);
@@ -313,7 +314,7 @@
 					this->stop_delay, [this, name = report.box, task, run] { this->EndStopped(name, task, run); });
 		}
 	}
-	return this->Plain(box, OrderOutcome::OO_DONE);
+	return this->MakeAnswer(box, OrderOutcome::OO_DONE);
 }
 
 void BoxSite::EndStopped(const BoxName &name, const TaskId &task, RunNumber run)
@@ -324,31 +325,31 @@
 	}
 }
 
-void BoxSite::JudgeStop(const Box &box, const TaskId &task)
+void BoxSite::CheckStop(const Box &box, const TaskId &task)
 {
 	const SiteJob &job = this->jobs.at(task.job);
 	const StepSpec &step = job.spec.steps[task.step];
-	const auto away = std::ranges::count_if(this->stopped_away, [&task](const TaskId &it) {
+	const auto absent = std::ranges::count_if(this->absent_tasks, [&task](const TaskId &it) {
 		return it.job == task.job && it.occurrence == task.occurrence && it.step == task.step;
 	});
 	const bool limited = step.absent_max && !job.cancel_sent && !box.report.leaving;
-	if (limited && away >= int64_t{*step.absent_max}) {
-		this->Violation("stopped while others of its step were away", task);
+	if (limited && absent >= int64_t{*step.absent_max}) {
+		this->AddViolation("stopped while others of its step were away", task);
 	}
-	this->stopped_away.insert(task);
+	this->absent_tasks.insert(task);
 }
 
 OrderAnswer BoxSite::Pace(const BoxReport &report, FenceToken fence)
 {
 	Box *box = this->Find(report);
 	if (box == nullptr) {
-		return this->Plain(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
+		return this->MakeAnswer(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
 	}
 	if (fence < box->fence) {
-		return this->Plain(box, OrderOutcome::OO_FENCED);
+		return this->MakeAnswer(box, OrderOutcome::OO_FENCED);
 	}
 	box->fence = fence;
-	return this->Plain(box, OrderOutcome::OO_DONE);
+	return this->MakeAnswer(box, OrderOutcome::OO_DONE);
 }
 
 LeaseAnswer BoxSite::Lease(const BoxReport &report, const LeaseOrder &order)
@@ -356,11 +357,11 @@
 	LeaseAnswer answer;
 	Box *box = this->Find(report);
 	if (box == nullptr) {
-		answer.order = this->Plain(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
+		answer.order = this->MakeAnswer(nullptr, OrderOutcome::OO_OTHER_INCARNATION);
 		return answer;
 	}
 	if (order.fence < box->fence) {
-		answer.order = this->Plain(box, OrderOutcome::OO_FENCED);
+		answer.order = this->MakeAnswer(box, OrderOutcome::OO_FENCED);
 		return answer;
 	}
 	box->fence = order.fence;
@@ -369,16 +370,16 @@
 			return false;
 		}
 		if (it.ending == RunEnding::RE_DONE) {
-			this->done_noted.insert(it.task);
+			this->done_acknowledged.insert(it.task);
 		} else if (it.ending == RunEnding::RE_FAILED) {
-			this->failures_noted[it.task]++;
+			this->failures_acknowledged[it.task]++;
 		}
 		return true;
 	});
 	if (order.lease_until) {
-		this->ProlongLease(*box, *order.lease_until);
+		this->ExtendLease(*box, *order.lease_until);
 	}
-	answer.order = this->Plain(box, OrderOutcome::OO_DONE);
+	answer.order = this->MakeAnswer(box, OrderOutcome::OO_DONE);
 	answer.order.incarnation = box->report.incarnation;
 	for (const auto &[task, run] : box->running) {
 		answer.running.push_back(RunningRow{task, run.run, {}, 100, 0});
@@ -387,11 +388,11 @@
 	return answer;
 }
 
-bool SiteOrders::Reaches(const BoxReport &box) const
+bool SiteOrders::CanReach(const BoxReport &box) const
 {
 	const auto faults = this->site.faults.find(box.box);
-	const bool dark = faults != this->site.faults.end() && faults->second.unreachable;
-	return !dark && !this->site.Down(box.box) && !this->unreachable_boxes.contains(box.box);
+	const bool blocked = faults != this->site.faults.end() && faults->second.unreachable;
+	return !blocked && !this->site.Down(box.box) && !this->unreachable_boxes.contains(box.box);
 }
 
 void SiteOrders::Send(const BoxReport &box, std::function<OrderAnswer()> work, Done done)
@@ -399,18 +400,18 @@
 	const BoxFaults faults = this->site.faults[box.box];
 	const auto unknown = [done] { done(OrderAnswer{}); };
 	this->orders++;
-	if (faults.drop_starts_and_stops || !this->Reaches(box)) {
-		this->scheduler.After(PATIENCE, [done] { done(OrderAnswer{}); });
+	if (faults.drop_starts_and_stops || !this->CanReach(box)) {
+		this->scheduler.After(ORDER_TIMEOUT, [done] { done(OrderAnswer{}); });
 		return;
 	}
 	if (faults.lose_every > 0 && this->orders % faults.lose_every == 0) {
-		this->clock.After(faults.late ? LATE_BY : ONE_WAY, [work = std::move(work)] { work(); });
-		this->scheduler.After(PATIENCE, unknown);
+		this->clock.After(faults.late ? LATE_DELAY : ONE_WAY_LATENCY, [work = std::move(work)] { work(); });
+		this->scheduler.After(ORDER_TIMEOUT, unknown);
 		return;
 	}
-	this->clock.After(ONE_WAY, [this, work = std::move(work), done = std::move(done)] {
+	this->clock.After(ONE_WAY_LATENCY, [this, work = std::move(work), done = std::move(done)] {
 		const OrderAnswer answer = work();
-		this->scheduler.After(ONE_WAY, [done, answer] { done(answer); });
+		this->scheduler.After(ONE_WAY_LATENCY, [done, answer] { done(answer); });
 	});
 }
 
@@ -433,44 +434,45 @@
 			box, [&site = this->site, box, fence] { return site.Pace(box, fence); }, std::move(done));
 }
 
-void SiteOrders::Poll(const BoxReport &box, const LeaseOrder &order, Millis until, const BoxIncarnation &taken_by,
-					  const std::function<void(LeaseAnswer)> &done)
+void SiteOrders::Poll(const BoxReport &box, const LeaseOrder &order, Millis until,
+					  const BoxIncarnation &called_incarnation, const std::function<void(LeaseAnswer)> &done)
 {
 	/* An answer that waits is gone with the life that took the call. */
-	if (this->site.LifeOf(box.box) != taken_by) {
-		this->scheduler.After(PATIENCE, [done] { done(LeaseAnswer{}); });
+	if (this->site.IncarnationOf(box.box) != called_incarnation) {
+		this->scheduler.After(ORDER_TIMEOUT, [done] { done(LeaseAnswer{}); });
 		return;
 	}
 	const LeaseAnswer answer = this->site.Lease(box, order);
-	const bool dark = !this->Reaches(box);
+	const bool blocked = !this->CanReach(box);
 	const bool nothing =
 			answer.order.outcome == OrderOutcome::OO_DONE && answer.ended.empty() && this->clock.Now() < until;
-	if (dark) {
-		this->scheduler.After(PATIENCE, [done] { done(LeaseAnswer{}); });
+	if (blocked) {
+		this->scheduler.After(ORDER_TIMEOUT, [done] { done(LeaseAnswer{}); });
 	} else if (nothing) {
 		LeaseOrder later = order;
 		later.lease_until.reset();
-		this->clock.After(POLL_EVERY,
-						  [this, box, later, until, taken_by, done] { this->Poll(box, later, until, taken_by, done); });
+		this->clock.After(POLL_INTERVAL, [this, box, later, until, called_incarnation, done] {
+			this->Poll(box, later, until, called_incarnation, done);
+		});
 	} else {
-		this->scheduler.After(ONE_WAY, [done, answer] { done(answer); });
+		this->scheduler.After(ONE_WAY_LATENCY, [done, answer] { done(answer); });
 	}
 }
 
 void SiteOrders::Lease(const BoxReport &box, const LeaseOrder &order, std::function<void(LeaseAnswer)> done)
 {
-	if (!this->Reaches(box)) {
-		this->scheduler.After(order.wait + PATIENCE, [done] { done(LeaseAnswer{}); });
+	if (!this->CanReach(box)) {
+		this->scheduler.After(order.wait + ORDER_TIMEOUT, [done] { done(LeaseAnswer{}); });
 		return;
 	}
-	const uint32_t sent = ++this->lists[box.box];
-	const uint32_t lose = this->site.faults[box.box].lose_lease_every;
-	if (lose > 0 && sent % lose == 0) {
-		this->clock.After(ONE_WAY, [&site = this->site, box, order] { site.Lease(box, order); });
-		this->scheduler.After(order.wait + PATIENCE, [done] { done(LeaseAnswer{}); });
+	const uint32_t sent = ++this->lease_orders[box.box];
+	const uint32_t lose_every_nth = this->site.faults[box.box].lose_lease_every;
+	if (lose_every_nth > 0 && sent % lose_every_nth == 0) {
+		this->clock.After(ONE_WAY_LATENCY, [&site = this->site, box, order] { site.Lease(box, order); });
+		this->scheduler.After(order.wait + ORDER_TIMEOUT, [done] { done(LeaseAnswer{}); });
 		return;
 	}
-	this->clock.After(ONE_WAY, [this, box, order, done = std::move(done)] {
-		this->Poll(box, order, this->clock.Now() + order.wait, this->site.LifeOf(box.box), done);
+	this->clock.After(ONE_WAY_LATENCY, [this, box, order, done = std::move(done)] {
+		this->Poll(box, order, this->clock.Now() + order.wait, this->site.IncarnationOf(box.box), done);
 	});
 }
--- a/src/standin/memory/box_site.h
+++ b/src/standin/memory/box_site.h
@@ -19,7 +19,7 @@
 	bool cancel_sent = false;           ///< Whether its cancellation was sent: no limit on absent tasks holds then.
 	std::optional<Millis> cancelled_at; ///< When its cancellation was confirmed.
 	std::set<uint32_t> crashing_tasks;  ///< Tasks of its first step that crash each box that starts them.
-	Millis crash_after = Millis(10);    ///< Time from the start of such a task to the crash.
+	Millis crash_delay = Millis(10);    ///< Time from the start of such a task to the crash.
 };
 
 /** Faults of the way from the nodes to one box. */
@@ -48,7 +48,7 @@
 	/** @return A box's own clock: the time since it started. @param box Which. */
 	[[nodiscard]] Millis ClockOf(const BoxName &box) const;
 	/** @return A box's current life. @param box Which. */
-	[[nodiscard]] const BoxIncarnation &LifeOf(const BoxName &box) const
+	[[nodiscard]] const BoxIncarnation &IncarnationOf(const BoxName &box) const
 	{
 		return this->boxes.at(box).report.incarnation;
 	}
@@ -87,7 +87,7 @@
 	uint64_t starts = 0;                                                     ///< Runs begun.
 	uint64_t crashes = 0;                                                    ///< Crashes of boxes.
 	Millis restart_delay = Millis(3000);                                     ///< A crashed box is back after this.
-	bool keeps_id = true;                                                    ///< Whether boxes keep their ids.
+	bool keep_box_id = true;                                                 ///< Whether boxes keep their ids.
 	Millis wall_clock_lag; ///< Wall clocks of boxes that start are behind by so much.
 	bool checks_capacity =
 			true; ///< Whether boxes refuse what doesn't fit; otherwise they start all that they are told.
@@ -113,37 +113,37 @@
 		std::vector<EndedRow> ended;         ///< Ends not noted.
 		uint64_t last_end = 0;               ///< Number of the last end.
 		bool down = false;                   ///< It has crashed and isn't back yet.
-		Resources room_before;               ///< Its room before the last change.
+		Resources capacity_before;           ///< Its room before the last change.
 		Millis resized_at{-1000000};         ///< When its room changed last.
 	};
 
-	Scheduler &clock;                          ///< The world's clock.
-	std::set<JobId> started;                   ///< Jobs of which a task was started.
-	std::map<BoxName, Box> boxes;              ///< Boxes.
-	std::map<JobId, SiteJob> jobs;             ///< Jobs handed in.
-	std::map<TaskId, uint32_t> failures_noted; ///< Failed runs noted.
-	std::set<TaskId> done;                     ///< Tasks of which a run has ended well.
-	std::set<TaskId> done_noted;               ///< The same, noted.
-	std::map<TaskId, uint32_t> failed;         ///< Failed runs.
-	std::map<TaskId, uint32_t> crashed_under;  ///< Boxes that crashed while they ran a task.
-	std::map<TaskId, uint32_t> beyond_crashes; ///< Starts of a task after the third such crash.
-	std::set<TaskId> stopped_away;             ///< Tasks that an order ended and that were not started again since.
-	uint64_t lives = 0;                        ///< Lives given out by Restart().
+	Scheduler &clock;                                 ///< The world's clock.
+	std::set<JobId> started;                          ///< Jobs of which a task was started.
+	std::map<BoxName, Box> boxes;                     ///< Boxes.
+	std::map<JobId, SiteJob> jobs;                    ///< Jobs handed in.
+	std::map<TaskId, uint32_t> failures_acknowledged; ///< Failed runs noted.
+	std::set<TaskId> done;                            ///< Tasks of which a run has ended well.
+	std::set<TaskId> done_acknowledged;               ///< The same, noted.
+	std::map<TaskId, uint32_t> failures;              ///< Failed runs.
+	std::map<TaskId, uint32_t> crashes_by_task;       ///< Boxes that crashed while they ran a task.
+	std::map<TaskId, uint32_t> starts_after_crashes;  ///< Starts of a task after the third such crash.
+	std::set<TaskId> absent_tasks; ///< Tasks that an order ended and that were not started again since.
+	uint64_t new_box_ids = 0;      ///< Lives given out by Restart().
 
 	Box *Find(const BoxReport &report);
 	[[nodiscard]] Millis ClockOf(const Box &box) const { return this->clock.Now() - box.started; }
-	[[nodiscard]] OrderAnswer Plain(const Box *box, OrderOutcome outcome) const;
-	void Judge(const Box &box, const StartOrder &order);
-	void JudgeCrasher(const SiteJob &job, const TaskId &task);
-	void JudgeRoom(const Box &box, const TaskId &task, const Resources &demand);
+	[[nodiscard]] OrderAnswer MakeAnswer(const Box *box, OrderOutcome outcome) const;
+	void CheckStart(const Box &box, const StartOrder &order);
+	void CheckCrashLimit(const SiteJob &job, const TaskId &task);
+	void CheckCapacity(const Box &box, const TaskId &task, const Resources &demand);
 	void LoseRuns(Box &box);
-	void BreakGang(const TaskId &lost);
-	void JudgeStop(const Box &box, const TaskId &task);
+	void EndGang(const TaskId &lost);
+	void CheckStop(const Box &box, const TaskId &task);
 	void EndStopped(const BoxName &name, const TaskId &task, RunNumber run);
 	void End(const BoxName &name, const TaskId &task, RunEnding ending);
-	void Lapse(const BoxName &name);
-	void ProlongLease(Box &box, Millis until);
-	void Violation(const std::string &rule, const TaskId &task);
+	void ExpireLease(const BoxName &name);
+	void ExtendLease(Box &box, Millis until);
+	void AddViolation(const std::string &rule, const TaskId &task);
 };
 
 /** Orders of one node to the boxes. */
@@ -164,15 +164,15 @@
 	std::set<BoxName> unreachable_boxes; ///< Boxes that this node alone can't reach.
 
 private:
-	Scheduler &scheduler;              ///< The node's clock.
-	VirtualScheduler &clock;           ///< The world's clock.
-	BoxSite &site;                     ///< The boxes.
-	uint32_t orders = 0;               ///< Starts and stops sent.
-	std::map<BoxName, uint32_t> lists; ///< Lease orders sent, by box.
+	Scheduler &scheduler;                     ///< The node's clock.
+	VirtualScheduler &clock;                  ///< The world's clock.
+	BoxSite &site;                            ///< The boxes.
+	uint32_t orders = 0;                      ///< Starts and stops sent.
+	std::map<BoxName, uint32_t> lease_orders; ///< Lease orders sent, by box.
 
-	[[nodiscard]] bool Reaches(const BoxReport &box) const;
+	[[nodiscard]] bool CanReach(const BoxReport &box) const;
 	void Send(const BoxReport &box, std::function<OrderAnswer()> work, Done done);
-	void Poll(const BoxReport &box, const LeaseOrder &order, Millis until, const BoxIncarnation &taken_by,
+	void Poll(const BoxReport &box, const LeaseOrder &order, Millis until, const BoxIncarnation &called_incarnation,
 			  const std::function<void(LeaseAnswer)> &done);
 };
 
--- a/src/standin/memory/fleet_site.cpp
+++ b/src/standin/memory/fleet_site.cpp
@@ -10,9 +10,9 @@
 constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0.
 constexpr Millis REBOOT_TIME(3000);         ///< Time that a box is away for a reboot.
 constexpr Millis JOB_TIME(2000);            ///< Time that a job runs.
-constexpr Millis HELLO_TICK(500);           ///< Time between two hellos.
+constexpr Millis HELLO_INTERVAL(500);       ///< Time between two hellos.
 
-PlannerPolicy SitePolicy()
+PlannerPolicy MakePlannerPolicy()
 {
 	PlannerPolicy policy = LindeboomPolicy();
 	policy.drain_grace = Millis(1000);
@@ -26,7 +26,7 @@
 
 } // namespace
 
-bool SitePlatform::Lost()
+bool SitePlatform::TakeLostOrder()
 {
 	if (this->lose_orders > 0) {
 		this->lose_orders--;
@@ -38,7 +38,7 @@
 void SitePlatform::Reboot(const BoxName &name, PermitId permit)
 {
 	ListedBox &box = this->boxes.at(name);
-	if (this->Lost() || box.booted_for == permit || box.health == BoxHealth::BH_DOWN) {
+	if (this->TakeLostOrder() || box.booted_for == permit || box.health == BoxHealth::BH_DOWN) {
 		return;
 	}
 	box.health = BoxHealth::BH_DOWN;
@@ -52,11 +52,11 @@
 void SitePlatform::StartJob(const Job &job)
 {
 	const auto known = this->jobs.find(job.name);
-	if (this->Lost() || (known != this->jobs.end() && known->second.first.attempt >= job.attempt)) {
+	if (this->TakeLostOrder() || (known != this->jobs.end() && known->second.first.attempt >= job.attempt)) {
 		return;
 	}
 	this->starts[job.name.Value()]++;
-	const bool fails = this->poison.contains(job.name) || this->rotten.contains(job.box);
+	const bool fails = this->failing_jobs.contains(job.name) || this->failing_boxes.contains(job.box);
 	this->jobs[job.name] = {JobEnd{job.name, job.attempt, fails ? JobOutcome::JO_FAILED : JobOutcome::JO_DONE}, true};
 	this->clock.After(JOB_TIME, [this, name = job.name, attempt = job.attempt] {
 		const auto it = this->jobs.find(name);
@@ -69,7 +69,8 @@
 void SitePlatform::StopJob(const Job &job)
 {
 	const auto it = this->jobs.find(job.name);
-	if (!this->Lost() && it != this->jobs.end() && it->second.second && it->second.first.attempt == job.attempt) {
+	if (!this->TakeLostOrder() && it != this->jobs.end() && it->second.second &&
+		it->second.first.attempt == job.attempt) {
 		it->second.second = false;
 		it->second.first.outcome = JobOutcome::JO_CHECKPOINT;
 	}
@@ -108,8 +109,8 @@
 			   {},
 			   Millis(-MS_PER_DAY),
 			   {}},
-		  entries(this->core), operators(this->core), planner(this->core, this->entries, site.platform, SitePolicy()),
-		  snapshots(this->core)
+		  entries(this->core), operators(this->core),
+		  planner(this->core, this->entries, site.platform, MakePlannerPolicy()), snapshots(this->core)
 {
 }
 
@@ -224,7 +225,7 @@
 void EntryStub::Tick()
 {
 	this->Hello();
-	this->scheduler.After(HELLO_TICK, [this] { this->Tick(); });
+	this->scheduler.After(HELLO_INTERVAL, [this] { this->Tick(); });
 }
 
 void EntryStub::Hello()
@@ -372,7 +373,7 @@
 			Millis(20000));
 }
 
-void FleetSite::Violation(const std::string &what)
+void FleetSite::AddViolation(const std::string &what)
 {
 	this->violations.push_back(std::to_string(this->clock.Now().Value()) + " " + what);
 }
@@ -380,23 +381,23 @@
 void FleetSite::CheckRecord(const KeeperNode &keeper, const std::vector<Decision> &decisions)
 {
 	const FleetState &fleet = keeper.core.State();
-	const auto [it, first] = this->hash_at.emplace(fleet.offset.Value(), fleet.Hash());
+	const auto [it, first] = this->state_hashes.emplace(fleet.offset.Value(), fleet.Hash());
 	if (!first && it->second != fleet.Hash()) {
-		this->Violation("two states at offset " + std::to_string(fleet.offset.Value()));
+		this->AddViolation("two states at offset " + std::to_string(fleet.offset.Value()));
 	}
-	uint64_t &table = this->table_of[keeper.name + std::to_string(keeper.core.self.incarnation.Value())];
+	uint64_t &table = this->table_versions[keeper.name + std::to_string(keeper.core.self.incarnation.Value())];
 	if (fleet.table_version.Value() < table) {
-		this->Violation("table reverted at " + keeper.name);
+		this->AddViolation("table reverted at " + keeper.name);
 	}
 	table = fleet.table_version.Value();
 	this->CheckBudgets(keeper);
-	this->NoteRecord(keeper, decisions);
+	this->AppendTimeline(keeper, decisions);
 }
 
 void FleetSite::CheckBudgets(const KeeperNode &keeper)
 {
 	const FleetState &fleet = keeper.core.State();
-	auto &before = this->states_of[keeper.name];
+	auto &before = this->box_states[keeper.name];
 	std::set<PoolName> granted;
 	for (const auto &[name, box] : fleet.boxes) {
 		const auto old = before.find(name);
@@ -408,7 +409,7 @@
 	for (const PoolName &pool : granted) {
 		const PoolModel picture = PoolModelOf(fleet, pool);
 		if (!FloorsHold(CapacityOf(picture), FloorsOf(picture), true)) {
-			this->Violation("a permit left pool " + pool.Value() + " without its floors and guards");
+			this->AddViolation("a permit left pool " + pool.Value() + " without its floors and guards");
 		}
 	}
 	before.clear();
@@ -417,9 +418,9 @@
 	}
 }
 
-void FleetSite::NoteRecord(const KeeperNode &keeper, const std::vector<Decision> &decisions)
+void FleetSite::AppendTimeline(const KeeperNode &keeper, const std::vector<Decision> &decisions)
 {
-	if (!this->noted.emplace(keeper.core.State().offset.Value(), true).second) {
+	if (!this->timeline_offsets.emplace(keeper.core.State().offset.Value(), true).second) {
 		return;
 	}
 	for (const Decision &it : decisions) {
--- a/src/standin/memory/fleet_site.h
+++ b/src/standin/memory/fleet_site.h
@@ -34,14 +34,14 @@
 	std::map<std::string, int> starts;               ///< Runs begun, by job.
 	std::map<JobName, std::pair<JobEnd, bool>> jobs; ///< Newest attempt and whether it still runs.
 	int lose_orders = 0;                             ///< Next orders that are lost.
-	std::set<JobName> poison;                        ///< Jobs that always fail.
-	std::set<BoxName> rotten;                        ///< Boxes that fail every job.
+	std::set<JobName> failing_jobs;                  ///< Jobs that always fail.
+	std::set<BoxName> failing_boxes;                 ///< Boxes that fail every job.
 	std::map<BoxName, int> reboots;                  ///< Reboots carried out.
 
 private:
 	VirtualScheduler &clock; ///< The clock.
 
-	bool Lost();
+	bool TakeLostOrder();
 };
 
 /** A keeper without sockets. */
@@ -148,21 +148,21 @@
 	SitePlatform platform;                            ///< Boxes and jobs.
 	std::vector<std::unique_ptr<KeeperNode>> keepers; ///< Keepers, dead ones too.
 	std::vector<std::unique_ptr<EntryStub>> entries;  ///< Entries.
-	std::map<uint64_t, uint64_t> hash_at;             ///< Hash at each offset, as first seen.
-	std::map<std::string, uint64_t> table_of;         ///< Table version of each keeper.
+	std::map<uint64_t, uint64_t> state_hashes;        ///< Hash at each offset, as first seen.
+	std::map<std::string, uint64_t> table_versions;   ///< Table version of each keeper.
 	std::vector<std::string> violations;              ///< What did not hold.
 	std::set<std::string> accepted_jobs;              ///< Jobs told as accepted.
 	std::string timeline;                             ///< Accepted changes of the first keeper to fold them.
 	KeeperTimes times;                                ///< Times of keepers.
 
 private:
-	std::map<uint64_t, bool> noted; ///< Offsets in the timeline.
+	std::map<uint64_t, bool> timeline_offsets; ///< Offsets in the timeline.
 
-	void Violation(const std::string &what);
+	void AddViolation(const std::string &what);
 	void CheckBudgets(const KeeperNode &keeper);
-	void NoteRecord(const KeeperNode &keeper, const std::vector<Decision> &decisions);
+	void AppendTimeline(const KeeperNode &keeper, const std::vector<Decision> &decisions);
 
-	std::map<std::string, std::map<BoxName, BoxState>> states_of; ///< Box states of each keeper, before the record.
+	std::map<std::string, std::map<BoxName, BoxState>> box_states; ///< Box states of each keeper, before the record.
 };
 
 template <class T>
--- a/src/standin/memory/keyed_store.cpp
+++ b/src/standin/memory/keyed_store.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr size_t ANSWERS_KEPT = 5;  ///< Appends of a producer whose answer is given again.
-constexpr Millis LATE_BY(2500);     ///< A call that is carried out late comes after this.
-constexpr Millis NO_PATIENCE(1000); ///< A call on a silent way fails after this.
-constexpr Millis POLL_EVERY(5);     ///< A long poll looks so often.
-constexpr size_t PAGE = 50;         ///< Records of a page; the platform's are larger.
+constexpr size_t KEPT_ANSWERS = 5;   ///< Appends of a producer whose answer is given again.
+constexpr Millis LATE_DELAY(2500);   ///< A call that is carried out late comes after this.
+constexpr Millis CALL_TIMEOUT(1000); ///< A call on a silent way fails after this.
+constexpr Millis POLL_INTERVAL(5);   ///< A long poll looks so often.
+constexpr size_t PAGE_RECORDS = 50;  ///< Records of a page; the platform's are larger.
 
 } // namespace
 
@@ -23,9 +23,9 @@
 		if (condition.epoch < producer.epoch) {
 			return {ResultCode::RC_FENCED, 0};
 		}
-		if (condition.epoch == producer.epoch && producer.any) {
-			if (const auto again = producer.answers.find(condition.sequence); again != producer.answers.end()) {
-				return again->second;
+		if (condition.epoch == producer.epoch && producer.has_appended) {
+			if (const auto repeated = producer.answers.find(condition.sequence); repeated != producer.answers.end()) {
+				return repeated->second;
 			}
 			if (condition.sequence != producer.next) {
 				return {ResultCode::RC_STALE_TERM, 0};
@@ -49,10 +49,10 @@
 		if (condition.epoch > producer.epoch) {
 			producer = Producer{condition.epoch, {}, 0, false};
 		}
-		producer.any = true;
+		producer.has_appended = true;
 		producer.next = condition.sequence + 1;
 		producer.answers[condition.sequence] = answer;
-		if (producer.answers.size() > ANSWERS_KEPT) {
+		if (producer.answers.size() > KEPT_ANSWERS) {
 			producer.answers.erase(producer.answers.begin());
 		}
 	}
@@ -88,7 +88,7 @@
 	}
 	page.end = it->second.records.size();
 	for (auto row = it->second.newest.upper_bound(after); row != it->second.newest.end(); ++row) {
-		if (page.records.size() == PAGE) {
+		if (page.records.size() == PAGE_RECORDS) {
 			page.more = true;
 			break;
 		}
@@ -104,23 +104,24 @@
 	}
 }
 
-void KeyedStore::Deal(Group &group) const
+void KeyedStore::AssignPartitions(Group &group) const
 {
 	group.generation++;
-	group.promised.clear();
+	group.assigned.clear();
 	if (group.members.empty()) {
 		return;
 	}
-	for (uint32_t part = 0; part < this->parts; part++) {
-		const size_t turn = (size_t{part} * group.members.size() / this->parts + group.shift) % group.members.size();
-		group.promised[part] = std::next(group.members.begin(), static_cast<ptrdiff_t>(turn))->first;
+	for (uint32_t part = 0; part < this->partition_count; part++) {
+		const size_t member_index =
+				(size_t{part} * group.members.size() / this->partition_count + group.rotation) % group.members.size();
+		group.assigned[part] = std::next(group.members.begin(), static_cast<ptrdiff_t>(member_index))->first;
 	}
 }
 
-void KeyedStore::Settle(Group &group) const
+void KeyedStore::CompleteHandovers(Group &group) const
 {
 	/* A partition goes over once its holder has named the generation in which it lost it, or is gone. */
-	for (const auto &[part, member] : group.promised) {
+	for (const auto &[part, member] : group.assigned) {
 		const auto holder = group.holders.find(part);
 		const auto old = holder == group.holders.end() ? group.members.end() : group.members.find(holder->second);
 		if (old == group.members.end() || holder->second == member || old->second.generation >= group.generation) {
@@ -135,18 +136,18 @@
 	Group &it = this->groups[group];
 	it.topic = topic;
 	const size_t gone =
-			std::erase_if(it.members, [&](const auto &row) { return now - row.second.heard > row.second.silence; });
+			std::erase_if(it.members, [&](const auto &row) { return now - row.second.last_join > row.second.silence; });
 	const bool added = !it.members.contains(member);
 	it.members[member] = Member{now, silence, generation};
 	if (added || gone > 0) {
-		this->Deal(it);
+		this->AssignPartitions(it);
 	}
-	this->Settle(it);
+	this->CompleteHandovers(it);
 	GroupMembership answer;
 	answer.code = ResultCode::RC_OK;
 	answer.generation = it.generation;
 	for (const auto &[part, holder] : it.holders) {
-		if (holder == member && it.promised[part] == member) {
+		if (holder == member && it.assigned[part] == member) {
 			answer.partitions.push_back(PartitionId{topic, part});
 		}
 	}
@@ -157,16 +158,16 @@
 {
 	Group &it = this->groups[group];
 	if (it.members.erase(member) > 0) {
-		this->Deal(it);
-		this->Settle(it);
+		this->AssignPartitions(it);
+		this->CompleteHandovers(it);
 	}
 }
 
 void KeyedStore::ReassignPartitions()
 {
 	for (Group &it : this->groups | std::views::values) {
-		it.shift++;
-		this->Deal(it);
+		it.rotation++;
+		this->AssignPartitions(it);
 	}
 }
 
@@ -179,7 +180,7 @@
 	}
 	for (const auto &[part, name] : it->second.holders) {
 		const auto member = it->second.members.find(name);
-		if (member != it->second.members.end() && now - member->second.heard <= member->second.silence) {
+		if (member != it->second.members.end() && now - member->second.last_join <= member->second.silence) {
 			out.push_back(PartitionHolder{PartitionId{it->second.topic, part}, name});
 		}
 	}
@@ -190,8 +191,8 @@
 void KeyedStoreClient::Call(const std::optional<PartitionId> &partition, std::function<Answer()> work, Answer failed,
 							Millis patience, const std::function<void(Answer)> &done)
 {
-	if (this->Silent(partition)) {
-		this->scheduler.After(std::min(patience, NO_PATIENCE), [this, done, failed] {
+	if (this->DropsCalls(partition)) {
+		this->scheduler.After(std::min(patience, CALL_TIMEOUT), [this, done, failed] {
 			this->lost_at = this->scheduler.Now();
 			done(failed);
 		});
@@ -216,8 +217,8 @@
 		return store.Append(partition, records, condition);
 	};
 	this->appends++;
-	if (!this->Silent(partition) && this->faults.lose_every > 0 && this->appends % this->faults.lose_every == 0) {
-		this->clock.After(this->faults.late ? LATE_BY : this->faults.latency, [work] { work(); });
+	if (!this->DropsCalls(partition) && this->faults.lose_every > 0 && this->appends % this->faults.lose_every == 0) {
+		this->clock.After(this->faults.late ? LATE_DELAY : this->faults.latency, [work] { work(); });
 		this->scheduler.After(patience, [this, done, unknown] {
 			this->lost_at = this->scheduler.Now();
 			done(unknown);
@@ -233,10 +234,10 @@
 							const std::function<void(KeyedReadAnswer)> &done)
 {
 	KeyedReadAnswer answer = this->store.Read(partition, from);
-	const bool nothing = answer.code == ResultCode::RC_OK && answer.records.empty();
-	const bool broken = this->Silent(partition) || this->faults.refusing;
-	if (nothing && this->clock.Now() < until && !broken) {
-		this->scheduler.After(POLL_EVERY,
+	const bool empty_answer = answer.code == ResultCode::RC_OK && answer.records.empty();
+	const bool broken = this->DropsCalls(partition) || this->faults.refusing;
+	if (empty_answer && this->clock.Now() < until && !broken) {
+		this->scheduler.After(POLL_INTERVAL,
 							  [this, partition, from, until, done] { this->Poll(partition, from, until, done); });
 		return;
 	}
@@ -249,9 +250,9 @@
 void KeyedStoreClient::Read(const PartitionId &partition, uint64_t from, Millis wait,
 							std::function<void(KeyedReadAnswer)> done)
 {
-	if (this->Silent(partition) || this->faults.refusing) {
+	if (this->DropsCalls(partition) || this->faults.refusing) {
 		this->Call<KeyedReadAnswer>(
-				partition, [] { return KeyedReadAnswer{}; }, KeyedReadAnswer{}, NO_PATIENCE, done);
+				partition, [] { return KeyedReadAnswer{}; }, KeyedReadAnswer{}, CALL_TIMEOUT, done);
 		return;
 	}
 	this->scheduler.After(this->faults.latency, [this, partition, from, wait, done = std::move(done)] {
@@ -264,14 +265,14 @@
 {
 	this->Call<NewestPage>(
 			partition, [&store = this->store, partition, after] { return store.Newest(partition, after); },
-			NewestPage{}, NO_PATIENCE, done);
+			NewestPage{}, CALL_TIMEOUT, done);
 }
 
 void KeyedStoreClient::Join(const std::string &group, const std::string &member, const std::string &topic,
 							Millis silence, uint64_t generation, std::function<void(GroupMembership)> done)
 {
 	if (this->faults.join_lost) {
-		this->scheduler.After(NO_PATIENCE, [this, done] {
+		this->scheduler.After(CALL_TIMEOUT, [this, done] {
 			this->lost_at = this->scheduler.Now();
 			done(GroupMembership{});
 		});
@@ -282,7 +283,7 @@
 			[this, group, member, topic, silence, generation] {
 				return this->store.Join(group, member, topic, silence, generation, this->clock.Now());
 			},
-			GroupMembership{}, NO_PATIENCE, done);
+			GroupMembership{}, CALL_TIMEOUT, done);
 }
 
 void KeyedStoreClient::Leave(const std::string &group, const std::string &member, std::function<void()> done)
@@ -293,7 +294,7 @@
 				store.Leave(group, member);
 				return 0;
 			},
-			0, NO_PATIENCE, [done = std::move(done)](int) { done(); });
+			0, CALL_TIMEOUT, [done = std::move(done)](int) { done(); });
 }
 
 void KeyedStoreClient::Holders(const std::string &group,
@@ -302,7 +303,7 @@
 	using Rows = std::optional<std::vector<PartitionHolder>>;
 	this->Call<Rows>(
 			std::nullopt, [this, group] { return Rows(this->store.Holders(group, this->clock.Now())); }, std::nullopt,
-			NO_PATIENCE,
+			CALL_TIMEOUT,
 			[done = std::move(done)](const Rows &rows) {
 				done(rows ? ResultCode::RC_OK : ResultCode::RC_LOG_UNAVAILABLE,
 					 rows.value_or(std::vector<PartitionHolder>{}));
--- a/src/standin/memory/keyed_store.h
+++ b/src/standin/memory/keyed_store.h
@@ -14,7 +14,7 @@
 class KeyedStore {
 public:
 	/** @param parts Partitions of each topic. */
-	explicit KeyedStore(uint32_t parts) : parts(parts) {}
+	explicit KeyedStore(uint32_t partition_count) : partition_count(partition_count) {}
 
 	/** Appends, as KeyedLog says. */
 	KeyedAppendAnswer Append(const PartitionId &partition, const std::vector<KeyedRecord> &records,
@@ -43,7 +43,7 @@
 		uint64_t epoch = 0;                            ///< Highest epoch seen.
 		std::map<uint64_t, KeyedAppendAnswer> answers; ///< Answers by sequence number, the last five.
 		uint64_t next = 0;                             ///< Sequence number wanted.
-		bool any = false;                              ///< Whether this epoch has appended.
+		bool has_appended = false;                     ///< Whether this epoch has appended.
 	};
 
 	/** A partition. */
@@ -56,7 +56,7 @@
 
 	/** A member of a group. */
 	struct Member {
-		Millis heard;            ///< When it was heard of last.
+		Millis last_join;        ///< When it was heard of last.
 		Millis silence;          ///< It is out after this.
 		uint64_t generation = 0; ///< Generation that it has named.
 	};
@@ -65,18 +65,18 @@
 	struct Group {
 		std::string topic;                        ///< What is dealt.
 		uint64_t generation = 0;                  ///< Rises with each change.
-		uint64_t shift = 0;                       ///< Moves the deal.
+		uint64_t rotation = 0;                    ///< Moves the deal.
 		std::map<std::string, Member> members;    ///< Members by name.
 		std::map<uint32_t, std::string> holders;  ///< Who holds what.
-		std::map<uint32_t, std::string> promised; ///< Who is to hold what.
+		std::map<uint32_t, std::string> assigned; ///< Who is to hold what.
 	};
 
-	uint32_t parts;                              ///< Partitions of each topic.
+	uint32_t partition_count;                    ///< Partitions of each topic.
 	std::map<PartitionId, Partition> partitions; ///< Partitions in use.
 	std::map<std::string, Group> groups;         ///< Groups by name.
 
-	void Deal(Group &group) const;
-	void Settle(Group &group) const;
+	void AssignPartitions(Group &group) const;
+	void CompleteHandovers(Group &group) const;
 };
 
 /** Faults of one node's way to the log. Change them at any time. */
@@ -121,7 +121,7 @@
 	Millis lost_at = NEVER_LOST; ///< For AnswerLostAt().
 
 	/** @return Whether calls get no answer. @param partition Where they go; none for calls about groups. */
-	[[nodiscard]] bool Silent(const std::optional<PartitionId> &partition) const
+	[[nodiscard]] bool DropsCalls(const std::optional<PartitionId> &partition) const
 	{
 		return this->faults.silent || (partition && this->faults.silent_partitions.contains(*partition));
 	}
--- a/src/standin/memory/node_scheduler.h
+++ b/src/standin/memory/node_scheduler.h
@@ -20,7 +20,7 @@
 
 	[[nodiscard]] Millis Now() const override
 	{
-		return this->counts_sleep ? this->clock.Now() : this->clock.Now() - this->slept;
+		return this->counts_sleep ? this->clock.Now() : this->clock.Now() - this->suspended_time;
 	}
 	[[nodiscard]] Millis WallNow() const override { return this->clock.WallNow(); }
 	void Cancel(TimerId id) override { this->timers.erase(id); }
@@ -29,7 +29,7 @@
 	TimerId After(Millis delay, std::function<void()> run) override
 	{
 		const TimerId id(++this->last_id);
-		this->timers.emplace(id, Timer{std::move(run), this->slept});
+		this->timers.emplace(id, Timer{std::move(run), this->suspended_time});
 		this->Arm(id, delay);
 		return id;
 	}
@@ -39,7 +39,7 @@
 	void Suspend(Millis span)
 	{
 		this->paused_until = this->clock.Now() + span;
-		this->slept = this->slept + span;
+		this->suspended_time = this->suspended_time + span;
 	}
 
 	/** What a callback has cost in microseconds of processor time at the node's share of a core, told after each one;
@@ -55,36 +55,36 @@
 	/** A timer that is set. */
 	struct Timer {
 		std::function<void()> run; ///< What it runs.
-		Millis slept;              ///< Time suspended before it was set.
+		Millis suspended_time;     ///< Time suspended before it was set.
 	};
 
 	VirtualScheduler &clock;         ///< The world's clock.
 	uint64_t last_id = 0;            ///< Last timer handed out.
 	std::map<TimerId, Timer> timers; ///< Timers that are set, also those that wait for a pause to end.
-	Millis slept;                    ///< Time for which the machine was suspended so far.
-	double owed_us = 0;              ///< Time for which the node has yet to stand still.
-	std::deque<TimerId> held;        ///< Timers that came due while it did, in order.
+	Millis suspended_time;           ///< Time for which the machine was suspended so far.
+	double stall_us = 0;             ///< Time for which the node has yet to stand still.
+	std::deque<TimerId> deferred;    ///< Timers that came due while it did, in order.
 
 	void Arm(TimerId id, Millis delay)
 	{
-		this->clock.After(delay, [this, still = this->alive, id] {
-			if (*still) {
-				this->Fire(id);
+		this->clock.After(delay, [this, process_alive = this->alive, id] {
+			if (*process_alive) {
+				this->OnTimer(id);
 			}
 		});
 	}
 
-	void Fire(TimerId id)
+	void OnTimer(TimerId id)
 	{
 		const auto it = this->timers.find(id);
 		if (it == this->timers.end()) {
 			return;
 		}
-		if (this->owed_us >= US_PER_MS || !this->held.empty()) {
-			this->Hold(id);
+		if (this->stall_us >= US_PER_MS || !this->deferred.empty()) {
+			this->Defer(id);
 			return;
 		}
-		const Millis missed = this->slept - std::exchange(it->second.slept, this->slept);
+		const Millis missed = this->suspended_time - std::exchange(it->second.suspended_time, this->suspended_time);
 		const Millis paused = this->paused_until - this->clock.Now();
 		if (missed > Millis(0) || paused > Millis(0)) {
 			this->Arm(id, std::max(missed, paused));
@@ -97,36 +97,36 @@
 	{
 		this->timers.extract(it).mapped().run();
 		if (this->take_cost) {
-			this->owed_us += this->take_cost();
+			this->stall_us += this->take_cost();
 		}
 	}
 
 	/* One timer of the world serves all that wait: a node that is behind has thousands. */
-	void Hold(TimerId id)
+	void Defer(TimerId id)
 	{
-		this->held.push_back(id);
-		if (this->held.size() == 1) {
-			this->ServeHeld();
+		this->deferred.push_back(id);
+		if (this->deferred.size() == 1) {
+			this->RunDeferred();
 		}
 	}
 
-	void ServeHeld()
+	void RunDeferred()
 	{
-		while (!this->held.empty() && this->owed_us < US_PER_MS) {
-			const auto it = this->timers.find(this->held.front());
-			this->held.pop_front();
+		while (!this->deferred.empty() && this->stall_us < US_PER_MS) {
+			const auto it = this->timers.find(this->deferred.front());
+			this->deferred.pop_front();
 			if (it != this->timers.end()) {
 				this->Run(it);
 			}
 		}
-		if (this->held.empty()) {
+		if (this->deferred.empty()) {
 			return;
 		}
-		const Millis owed(static_cast<int64_t>(this->owed_us / US_PER_MS));
-		this->owed_us -= static_cast<double>(owed.Value()) * US_PER_MS;
-		this->clock.After(std::max(owed, this->paused_until - this->clock.Now()), [this, still = this->alive] {
-			if (*still) {
-				this->ServeHeld();
+		const Millis stall(static_cast<int64_t>(this->stall_us / US_PER_MS));
+		this->stall_us -= static_cast<double>(stall.Value()) * US_PER_MS;
+		this->clock.After(std::max(stall, this->paused_until - this->clock.Now()), [this, process_alive = this->alive] {
+			if (*process_alive) {
+				this->RunDeferred();
 			}
 		});
 	}
--- a/src/standin/memory/request_world.cpp
+++ b/src/standin/memory/request_world.cpp
@@ -10,8 +10,8 @@
 constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0.
 constexpr Millis CONNECT_TIME(1);           ///< Time until a connection stands or fails.
 constexpr Millis LATE_TIME(3000);           ///< Time after which a late endpoint answers.
-constexpr Millis TICK(50);                  ///< Gates and leases.
-constexpr Millis LEASE(2000);               ///< Lease of a renewal.
+constexpr Millis TICK_INTERVAL(50);         ///< Gates and leases.
+constexpr Millis LEASE_SPAN(2000);          ///< Lease of a renewal.
 
 /** A call to an endpoint. */
 class FakeCall : public EndpointCall, public std::enable_shared_from_this<FakeCall> {
@@ -38,11 +38,11 @@
 
 	[[nodiscard]] std::string Submission() const { return *this->request.headers.Find("Submission"); }
 
-	[[nodiscard]] bool Heard() const { return this->events != nullptr && *this->entry.scheduler.alive; }
+	[[nodiscard]] bool CanDeliver() const { return this->events != nullptr && *this->entry.scheduler.alive; }
 
 	void Fail(CallFailure failure)
 	{
-		if (this->Heard()) {
+		if (this->CanDeliver()) {
 			std::exchange(this->events, nullptr)->OnCallFailed(failure);
 		}
 	}
@@ -84,7 +84,7 @@
 			this->entry.world.Note(this->endpoint.box + " closes without answering");
 			this->Fail(CallFailure::CF_NO_RESPONSE);
 		} else if (behavior == EndpointBehavior::EB_HALF_CLOSE || behavior == EndpointBehavior::EB_HALF_STALL) {
-			this->Half(behavior);
+			this->SendHalf(behavior);
 		} else {
 			this->Answer(behavior == EndpointBehavior::EB_ERROR ? 500 : 200, this->request.body, nullptr);
 		}
@@ -101,13 +101,13 @@
 		return head;
 	}
 
-	void Half(EndpointBehavior behavior)
+	void SendHalf(EndpointBehavior behavior)
 	{
-		if (!this->Heard()) {
+		if (!this->CanDeliver()) {
 			return;
 		}
 		this->events->OnResponseHead(this->HeadOf(200, nullptr));
-		if (this->Heard()) {
+		if (this->CanDeliver()) {
 			this->events->OnResponseBody(this->request.body.substr(0, this->request.body.size() / 2));
 		}
 		this->entry.world.Note(this->endpoint.box + " answers half");
@@ -118,17 +118,17 @@
 
 	void Answer(int status, const std::string &body, const char *run)
 	{
-		const auto hold = this->shared_from_this();
-		if (!this->Heard()) {
+		const auto keep_alive = this->shared_from_this();
+		if (!this->CanDeliver()) {
 			return;
 		}
 		ResponseHead head = this->HeadOf(status, run);
 		head.length = body.size();
 		this->events->OnResponseHead(std::move(head));
-		if (this->Heard()) {
+		if (this->CanDeliver()) {
 			this->events->OnResponseBody(body);
 		}
-		if (this->Heard()) {
+		if (this->CanDeliver()) {
 			std::exchange(this->events, nullptr)->OnResponseEnd();
 		}
 	}
@@ -173,13 +173,13 @@
 		CallEvents *events;                 ///< Gets what happens.
 		std::shared_ptr<Exchange> exchange; ///< The request at the other entry.
 
-		[[nodiscard]] bool Heard() const { return this->events != nullptr && *this->from.scheduler.alive; }
+		[[nodiscard]] bool CanDeliver() const { return this->events != nullptr && *this->from.scheduler.alive; }
 
 		void Arrive(const std::shared_ptr<State> &self)
 		{
 			if (this->to == nullptr || !*this->to->scheduler.alive || this->to->cut_from_peers ||
 				this->from.cut_from_peers) {
-				if (this->Heard()) {
+				if (this->CanDeliver()) {
 					std::exchange(this->events, nullptr)->OnCallFailed(CallFailure::CF_NOT_CONNECTED);
 				}
 				return;
@@ -190,44 +190,44 @@
 														this->request);
 			this->from.world.clock.After(Millis(60000), [self] { self->exchange.reset(); });
 			this->exchange->Start();
-			this->Watch(self);
+			this->WatchTarget(self);
 		}
 
 		/** Tells the caller's entry when the other is killed. */
-		void Watch(const std::shared_ptr<State> &self)
+		void WatchTarget(const std::shared_ptr<State> &self)
 		{
 			if (!*this->to->scheduler.alive) {
-				if (this->Heard()) {
+				if (this->CanDeliver()) {
 					std::exchange(this->events, nullptr)->OnCallFailed(CallFailure::CF_NO_RESPONSE);
 				}
 				return;
 			}
-			if (this->Heard()) {
-				this->from.world.clock.After(Millis(10), [self] { self->Watch(self); });
+			if (this->CanDeliver()) {
+				this->from.world.clock.After(Millis(10), [self] { self->WatchTarget(self); });
 			}
 		}
 
 		void Begin(const ResponseHead &head) override
 		{
-			if (this->Heard()) {
+			if (this->CanDeliver()) {
 				this->events->OnResponseHead(head);
 			}
 		}
 		void Body(std::string_view data) override
 		{
-			if (this->Heard()) {
+			if (this->CanDeliver()) {
 				this->events->OnResponseBody(data);
 			}
 		}
 		void End() override
 		{
-			if (this->Heard()) {
+			if (this->CanDeliver()) {
 				std::exchange(this->events, nullptr)->OnResponseEnd();
 			}
 		}
 		void Abort() override
 		{
-			if (this->Heard()) {
+			if (this->CanDeliver()) {
 				std::exchange(this->events, nullptr)->OnCallFailed(CallFailure::CF_TRUNCATED);
 			}
 		}
@@ -396,7 +396,7 @@
 		glade::wire::ViewT view = BuildView(this->fleet, entry->path.self.zone, {});
 		view.version = this->view_version;
 		entry->path.routes.Apply(view, this->clock.Now());
-		entry->path.routes.ExtendLease(this->clock.Now() + LEASE);
+		entry->path.routes.ExtendLease(this->clock.Now() + LEASE_SPAN);
 	}
 }
 
@@ -445,13 +445,13 @@
 			continue;
 		}
 		if (entry->renew) {
-			entry->path.routes.ExtendLease(this->clock.Now() + LEASE);
+			entry->path.routes.ExtendLease(this->clock.Now() + LEASE_SPAN);
 		}
 		for (const auto &[pool, gate] : entry->path.routes.Gates()) {
 			gate->Tick(this->clock.Now());
 		}
 	}
-	this->clock.After(TICK, [this] { this->Tick(); });
+	this->clock.After(TICK_INTERVAL, [this] { this->Tick(); });
 }
 
 void RequestWorld::Run(Millis span)
--- a/src/standin/platform/platform_standin.cpp
+++ b/src/standin/platform/platform_standin.cpp
@@ -17,7 +17,7 @@
 constexpr int STATUS_THROTTLED = 429;    ///< Append limit reached.
 constexpr int STATUS_DOWN = 503;         ///< Told to be down.
 
-void Answer(CallerSink &sink, int status, const std::string &body)
+void SendAnswer(CallerSink &sink, int status, const std::string &body)
 {
 	ResponseHead head;
 	head.status = status;
@@ -42,7 +42,7 @@
 	return limits;
 }
 
-const char *StateWord(BoxHealth health)
+const char *BoxStateName(BoxHealth health)
 {
 	if (health == BoxHealth::BH_UP) {
 		return "live";
@@ -78,7 +78,7 @@
 		if (CallerSink *to = std::exchange(this->sink, nullptr); to != nullptr) {
 			const ReadAnswer answer = this->platform.store.Read(this->from, this->platform.scheduler.WallNow());
 			const int status = answer.code == ResultCode::RC_OK ? STATUS_OK : STATUS_GONE;
-			Answer(*to, status, this->platform.ReadBody(answer));
+			SendAnswer(*to, status, this->platform.ReadBody(answer));
 		}
 	}
 
@@ -137,15 +137,15 @@
 	const std::string path = url.path().toStdString();
 	if (path == "/fault") {
 		this->SetFaults(query);
-		Answer(sink, STATUS_OK, "{}");
+		SendAnswer(sink, STATUS_OK, "{}");
 		return nullptr;
 	}
 	if (path == "/dump") {
-		Answer(sink, STATUS_OK, JsonText(this->Dump()));
+		SendAnswer(sink, STATUS_OK, JsonText(this->Dump()));
 		return nullptr;
 	}
 	if (this->faults.down) {
-		Answer(sink, STATUS_DOWN, "{}");
+		SendAnswer(sink, STATUS_DOWN, "{}");
 		return nullptr;
 	}
 	if (path == "/log/read") {
@@ -155,7 +155,7 @@
 		this->ServeAppend(sink, std::move(request));
 		return nullptr;
 	}
-	this->ServeNow(sink, request, query, path);
+	this->ServeBoxesAndJobs(sink, request, query, path);
 	return nullptr;
 }
 
@@ -179,13 +179,13 @@
 {
 	const LogOffset from(query.queryItemValue("from").toULongLong());
 	auto read = std::make_shared<WaitingRead>(*this, sink, from);
-	const bool there = from <= this->store.Newest();
-	const Millis wait(there ? this->faults.delay.Value() : query.queryItemValue("wait_ms").toLongLong());
-	if (there && wait == Millis(0)) {
+	const bool available = from <= this->store.Newest();
+	const Millis wait(available ? this->faults.delay.Value() : query.queryItemValue("wait_ms").toLongLong());
+	if (available && wait == Millis(0)) {
 		read->Finish();
 		return nullptr;
 	}
-	if (!there) {
+	if (!available) {
 		this->reads.push_back(read);
 	}
 	read->Start(wait);
@@ -214,7 +214,7 @@
 	const Millis now = this->scheduler.WallNow();
 	const AppendAnswer answer = this->store.Append(request.body, now);
 	if (answer.code != ResultCode::RC_OK) {
-		Answer(sink, STATUS_THROTTLED, "{}");
+		SendAnswer(sink, STATUS_THROTTLED, "{}");
 		return;
 	}
 	if (this->faults.repeat_appends > 0) {
@@ -227,7 +227,7 @@
 	} else {
 		QJsonObject json;
 		json["offset"] = QString::number(answer.offset.Value());
-		Answer(sink, STATUS_OK, JsonText(json));
+		SendAnswer(sink, STATUS_OK, JsonText(json));
 	}
 	this->WakeReads();
 }
@@ -242,8 +242,8 @@
 	}
 }
 
-void PlatformStandin::ServeNow(CallerSink &sink, const CallerRequest &request, const QUrlQuery &query,
-							   const std::string &path)
+void PlatformStandin::ServeBoxesAndJobs(CallerSink &sink, const CallerRequest &request, const QUrlQuery &query,
+										const std::string &path)
 {
 	if (path == "/boxes") {
 		this->ServeList(sink, request);
@@ -252,7 +252,7 @@
 	} else if (path.starts_with("/jobs/")) {
 		this->ServeJob(sink, request, query, path);
 	} else {
-		Answer(sink, STATUS_NOT_FOUND, "{}");
+		SendAnswer(sink, STATUS_NOT_FOUND, "{}");
 	}
 }
 
@@ -287,7 +287,7 @@
 		json["rack"] = QString::fromStdString(box.listed.rack.Value());
 		json["address"] = QString::fromStdString(box.listed.address);
 		json["slots"] = static_cast<int>(box.listed.slots.Value());
-		json["state"] = box.rebooting != PermitId() ? "failed" : StateWord(box.listed.health);
+		json["state"] = box.rebooting != PermitId() ? "failed" : BoxStateName(box.listed.health);
 		json["booted_for"] = QString::number(box.listed.booted_for.Value());
 		json["checks_pass"] = box.listed.checks_pass;
 		list.append(json);
@@ -300,7 +300,7 @@
 	const BoxName name(query.queryItemValue("box").toStdString());
 	const auto it = this->boxes.find(name);
 	if (it == this->boxes.end()) {
-		Answer(sink, STATUS_NOT_FOUND, "{}");
+		SendAnswer(sink, STATUS_NOT_FOUND, "{}");
 		return;
 	}
 	if (path == "/boxes/reboot") {
@@ -311,7 +311,7 @@
 								   : state == "leaving" ? BoxHealth::BH_LEAVING
 														: BoxHealth::BH_DOWN;
 	}
-	Answer(sink, STATUS_OK, "{}");
+	SendAnswer(sink, STATUS_OK, "{}");
 }
 
 void PlatformStandin::Reboot(const BoxName &name, PermitId permit)
@@ -360,10 +360,10 @@
 				ends.append(end);
 			}
 		}
-		Answer(sink, STATUS_OK, QJsonDocument(ends).toJson(QJsonDocument::Compact).toStdString());
+		SendAnswer(sink, STATUS_OK, QJsonDocument(ends).toJson(QJsonDocument::Compact).toStdString());
 		return;
 	}
-	Answer(sink, STATUS_OK, "{}");
+	SendAnswer(sink, STATUS_OK, "{}");
 }
 
 void PlatformStandin::StartJob(const QJsonObject &json)
--- a/src/standin/platform/platform_standin.h
+++ b/src/standin/platform/platform_standin.h
@@ -59,7 +59,8 @@
 	std::list<std::weak_ptr<WaitingRead>> reads; ///< Reads that wait.
 	QObject links;                               ///< Parent of connections: they end before what they use.
 
-	void ServeNow(CallerSink &sink, const CallerRequest &request, const QUrlQuery &query, const std::string &path);
+	void ServeBoxesAndJobs(CallerSink &sink, const CallerRequest &request, const QUrlQuery &query,
+						   const std::string &path);
 	std::shared_ptr<ServedRequest> ServeRead(CallerSink &sink, const QUrlQuery &query);
 	void ServeAppend(CallerSink &sink, CallerRequest request);
 	void ServeBox(CallerSink &sink, const QUrlQuery &query, const std::string &path);
--- a/tests/owner/main.cpp
+++ b/tests/owner/main.cpp
@@ -1,9 +1,9 @@
 /** @file main.cpp glade_owner_bench: what the owner of a queue spends on each run, over real sockets on loopback. */
 #include "../../platform/box_client.h"
-#include "agent_site.h"
 #include "bench/bench_output.h"
 #include "jobs/shard_base.h"
 #include "program/program.h"
+#include "simulated_agents.h"
 
 #include <QCoreApplication>
 
@@ -29,13 +29,13 @@
 constexpr Millis WARM_UP(3000);             ///< Until the queue has as much work as it will have.
 constexpr Millis RUN_TIME(1000);            ///< Time that a task takes.
 constexpr Millis APPEND_TIME(8);            ///< Time that an append takes.
-constexpr Millis ARRIVALS(10);              ///< Jobs are handed in so often.
+constexpr Millis SUBMIT_INTERVAL(10);       ///< Jobs are handed in so often.
 constexpr Resources ROOM{16000, 65536, 0};  ///< What a box has.
 constexpr Resources DEMAND{2200, 6400, 0};  ///< What a task takes on average.
 constexpr int64_t DEMAND_SPREAD = 1000;     ///< Thousandths of a core around it, both ways.
-constexpr uint32_t WIDTH_LEAST = 3;         ///< Tasks of a step, at least
-constexpr uint32_t WIDTH_MOST = 13;         ///< and at most.
-constexpr double STEPS = 1.6;               ///< Steps of a job on average: one or two.
+constexpr uint32_t STEP_TASKS_MIN = 3;      ///< Tasks of a step, at least
+constexpr uint32_t STEP_TASKS_MAX = 13;     ///< and at most.
+constexpr double MEAN_STEPS = 1.6;          ///< Steps of a job on average: one or two.
 constexpr double NS_PER_US = 1000;          ///< Nanoseconds in a microsecond.
 constexpr double US_PER_SECOND = 1000000;   ///< Microseconds in a second.
 const ServiceName SERVICE("calc");          ///< The service.
@@ -50,9 +50,9 @@
 }
 
 /** A log that takes every append. */
-class TakingLog : public KeyedLog {
+class AcceptingLog : public KeyedLog {
 public:
-	explicit TakingLog(Scheduler &scheduler) : scheduler(scheduler) {}
+	explicit AcceptingLog(Scheduler &scheduler) : scheduler(scheduler) {}
 
 	void Append(const PartitionId &, const std::vector<KeyedRecord> &, const AppendCondition &, Millis,
 				std::function<void(KeyedAppendAnswer)> done) override
@@ -73,9 +73,9 @@
 };
 
 /** An owner with its boxes, and callers who hand jobs in. */
-class OwnerRun {
+class OwnerBench {
 public:
-	OwnerRun(size_t boxes, int64_t rate)
+	OwnerBench(size_t boxes, int64_t rate)
 			: agents(boxes, RUN_TIME), log(this->scheduler), caller(this->scheduler, DialLimits{}),
 			  orders(this->caller), journal(this->scheduler, this->log, this->events,
 											JournalPair{PROGRESS, SparePartitionOf(PROGRESS),
@@ -96,7 +96,7 @@
 		}
 		this->shard.SetEarlierLeaseSpan(Millis(0));
 		this->shard.Begin();
-		this->HandIn();
+		this->SubmitJobs();
 	}
 
 	/** Prints what the time after the warm-up has cost. @param boxes For the lines. @param span That time. */
@@ -125,8 +125,8 @@
 
 private:
 	QtScheduler scheduler;  ///< Clock of this thread.
-	AgentSite agents;       ///< The boxes.
-	TakingLog log;          ///< The log.
+	SimulatedAgents agents; ///< The boxes.
+	AcceptingLog log;       ///< The log.
 	NullEventLog events;    ///< Lines.
 	HttpCaller caller;      ///< Connections.
 	BoxClient orders;       ///< Orders to the boxes.
@@ -160,18 +160,18 @@
 		step.demand = DEMAND;
 		step.demand.cpu += int64_t{this->Between(0, 2 * DEMAND_SPREAD)} - DEMAND_SPREAD;
 		step.estimate = RUN_TIME;
-		step.count = this->Between(WIDTH_LEAST, WIDTH_MOST);
+		step.count = this->Between(STEP_TASKS_MIN, STEP_TASKS_MAX);
 		job.steps.push_back(step);
-		if (std::bernoulli_distribution(STEPS - 1)(this->random)) {
+		if (std::bernoulli_distribution(MEAN_STEPS - 1)(this->random)) {
 			step.after = {0};
 			job.steps.push_back(step);
 		}
 		return job;
 	}
 
-	void HandIn()
+	void SubmitJobs()
 	{
-		this->tasks_due += static_cast<double>(this->rate * ARRIVALS.Value()) / MS_PER_SECOND;
+		this->tasks_due += static_cast<double>(this->rate * SUBMIT_INTERVAL.Value()) / MS_PER_SECOND;
 		while (this->tasks_due > 0) {
 			JobSpec job = this->MakeJob();
 			std::ranges::for_each(job.steps, [this](const StepSpec &it) { this->tasks_due -= it.count; });
@@ -180,7 +180,7 @@
 											  InboxKey{id, AccountName(), false},
 											  [](ResultCode) { /* Nobody waits. */ }});
 		}
-		this->scheduler.After(ARRIVALS, [this] { this->HandIn(); });
+		this->scheduler.After(SUBMIT_INTERVAL, [this] { this->SubmitJobs(); });
 	}
 };
 
@@ -196,7 +196,7 @@
 	QCoreApplication app(argc, argv);
 	try {
 		const size_t boxes = std::stoul(args["--boxes"].asString());
-		OwnerRun run(boxes, std::stol(args["--rate"].asString()));
+		OwnerBench run(boxes, std::stol(args["--rate"].asString()));
 		run.Measure(boxes, Millis(std::stol(args["--seconds"].asString()) * MS_PER_SECOND));
 	} catch (const std::exception &) {
 		std::cerr << Result{ResultCode::RC_USAGE, "expected whole numbers"}.Text() << '\n';
--- a/tests/owner/agent_site.cpp
+++ b/tests/owner/simulated_agents.cpp
@@ -1,5 +1,5 @@
-/** @file agent_site.cpp Agents of many boxes over real sockets. */
-#include "agent_site.h"
+/** @file simulated_agents.cpp Agents of many boxes over real sockets. */
+#include "simulated_agents.h"
 
 #include <rapidjson/document.h>
 
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr size_t BOXES_A_NET = 200; ///< Boxes whose addresses differ in the last part only.
+constexpr size_t BOXES_PER_SUBNET = 200; ///< Boxes whose addresses differ in the last part only.
 
-std::string LifeOf(size_t n)
+std::string IncarnationIdOf(size_t n)
 {
 	return "life" + std::to_string(n);
 }
@@ -28,9 +28,9 @@
 
 } // namespace
 
-class AgentSite::Poll : public ServedRequest {
+class SimulatedAgents::WaitingLeaseOrder : public ServedRequest {
 public:
-	explicit Poll(CallerSink &sink) : sink(&sink) {}
+	explicit WaitingLeaseOrder(CallerSink &sink) : sink(&sink) {}
 
 	void OnCallerDisconnected() override { this->sink = nullptr; }
 	void OnCallerWritable() override {}
@@ -47,10 +47,10 @@
 	CallerSink *sink; ///< The owner's end; null once answered or gone.
 };
 
-AgentSite::AgentSite(size_t boxes, Millis run_time) : boxes(boxes), run_time(run_time)
+SimulatedAgents::SimulatedAgents(size_t boxes, Millis run_time) : boxes(boxes), run_time(run_time)
 {
 	this->thread.start();
-	this->anchor.moveToThread(&this->thread);
+	this->thread_context.moveToThread(&this->thread);
 	this->OnThread([this] {
 		this->scheduler = std::make_unique<QtScheduler>();
 		this->listener = std::make_unique<CallerListener>([this](qintptr descriptor) {
@@ -59,33 +59,33 @@
 		this->listener->listen(QHostAddress::AnyIPv4, 0);
 		this->port = this->listener->serverPort();
 		for (size_t n = 0; n < this->boxes; n++) {
-			this->agents[LifeOf(n)];
+			this->agents[IncarnationIdOf(n)];
 		}
 	});
 }
 
-AgentSite::~AgentSite()
+SimulatedAgents::~SimulatedAgents()
 {
 	this->OnThread([this] { this->listener.reset(); });
 	this->thread.quit();
 	this->thread.wait();
 }
 
-void AgentSite::OnThread(const std::function<void()> &run)
+void SimulatedAgents::OnThread(const std::function<void()> &run)
 {
-	QMetaObject::invokeMethod(&this->anchor, run, Qt::BlockingQueuedConnection);
+	QMetaObject::invokeMethod(&this->thread_context, run, Qt::BlockingQueuedConnection);
 }
 
-std::vector<BoxReport> AgentSite::Reports(const ServiceName &service, const Resources &room) const
+std::vector<BoxReport> SimulatedAgents::Reports(const ServiceName &service, const Resources &room) const
 {
 	std::vector<BoxReport> out;
 	for (size_t n = 0; n < this->boxes; n++) {
 		BoxReport report;
-		report.incarnation.id = BoxId(LifeOf(n));
+		report.incarnation.id = BoxId(IncarnationIdOf(n));
 		report.box = BoxName("box" + std::to_string(n));
 		report.service = service;
-		report.address = "127.9." + std::to_string(n / BOXES_A_NET) + "." + std::to_string(n % BOXES_A_NET + 1) + ":" +
-						 std::to_string(this->port);
+		report.address = "127.9." + std::to_string(n / BOXES_PER_SUBNET) + "." +
+						 std::to_string(n % BOXES_PER_SUBNET + 1) + ":" + std::to_string(this->port);
 		report.capacity = room;
 		report.labels = {"a", "rack" + std::to_string(n / 20)};
 		report.rack = RackName(report.labels.back());
@@ -94,35 +94,35 @@
 	return out;
 }
 
-std::string AgentSite::Listed(const Agent &agent) const
+std::string SimulatedAgents::LeaseReply(const Agent &agent) const
 {
 	std::string body = R"({"clock-ms":)" + std::to_string(this->scheduler->Now().Value()) + R"(,"running":[)";
 	for (const auto &[task, run] : agent.running) {
 		body += (body.back() == '[' ? "[\"" : ",[\"") + task + "\"," + std::to_string(run) + R"(,"",100,2100])";
 	}
 	body += R"(],"finished":[)";
-	for (const End &it : agent.ended) {
+	for (const EndedRun &it : agent.ended) {
 		body += (body.back() == '[' ? "[" : ",[") + std::to_string(it.number) + ",\"" + it.task + "\"," +
 				std::to_string(it.run) + R"(,"done",""])";
 	}
 	return body + "]}";
 }
 
-void AgentSite::Start(Agent &agent, const std::string &task, int64_t run)
+void SimulatedAgents::Start(Agent &agent, const std::string &task, int64_t run)
 {
 	if (!agent.running.emplace(task, run).second) {
 		return;
 	}
 	this->scheduler->After(this->run_time, [this, &agent, task, run] {
 		agent.running.erase(task);
-		agent.ended.push_back(End{++agent.ends, task, run});
-		if (const auto poll = std::exchange(agent.waiting, {}).lock(); poll) {
-			poll->Finish(this->Listed(agent));
+		agent.ended.push_back(EndedRun{++agent.ends, task, run});
+		if (const auto poll = std::exchange(agent.waiting_order, {}).lock(); poll) {
+			poll->Finish(this->LeaseReply(agent));
 		}
 	});
 }
 
-std::shared_ptr<ServedRequest> AgentSite::Serve(CallerSink &sink, CallerRequest request)
+std::shared_ptr<ServedRequest> SimulatedAgents::Serve(CallerSink &sink, CallerRequest request)
 {
 	const std::string *incarnation = request.headers.Find("X-Target-Instance");
 	const auto it = incarnation == nullptr ? this->agents.end() : this->agents.find(*incarnation);
@@ -139,18 +139,19 @@
 		return nullptr;
 	}
 	if (json.HasMember("last-seen")) {
-		std::erase_if(agent.ended, [&json](const End &end) { return end.number <= json["last-seen"].GetUint64(); });
+		std::erase_if(agent.ended,
+					  [&json](const EndedRun &end) { return end.number <= json["last-seen"].GetUint64(); });
 	}
 	const int64_t wait = json.HasMember("wait-ms") ? json["wait-ms"].GetInt64() : 0;
 	if (!agent.ended.empty() || wait == 0) {
-		Answer(sink, 200, this->Listed(agent));
+		Answer(sink, 200, this->LeaseReply(agent));
 		return nullptr;
 	}
-	const auto poll = std::make_shared<Poll>(sink);
-	agent.waiting = poll;
-	this->scheduler->After(Millis(wait), [this, &agent, late = std::weak_ptr<Poll>(poll)] {
+	const auto poll = std::make_shared<WaitingLeaseOrder>(sink);
+	agent.waiting_order = poll;
+	this->scheduler->After(Millis(wait), [this, &agent, late = std::weak_ptr<WaitingLeaseOrder>(poll)] {
 		if (const auto still = late.lock(); still) {
-			still->Finish(this->Listed(agent));
+			still->Finish(this->LeaseReply(agent));
 		}
 	});
 	return poll;
--- a/tests/owner/agent_site.h
+++ b/tests/owner/simulated_agents.h
@@ -1,6 +1,6 @@
-/** @file agent_site.h Agents of many boxes over real sockets, on a thread of their own. */
-#ifndef AGENT_SITE_H
-#define AGENT_SITE_H
+/** @file simulated_agents.h Agents of many boxes over real sockets, on a thread of their own. */
+#ifndef SIMULATED_AGENTS_H
+#define SIMULATED_AGENTS_H
 
 #include "jobs/job_type.h"
 #include "net/caller_link.h"
@@ -13,13 +13,13 @@
  * Answers starts and lease orders as boxes do; every run ends well after a fixed time. One listener serves all boxes:
  * each has a loopback address of its own.
  */
-class AgentSite : public RequestHandler {
+class SimulatedAgents : public RequestHandler {
 public:
 	/** @param boxes Number of boxes. @param run_time Time that each run takes. */
-	AgentSite(size_t boxes, Millis run_time);
-	~AgentSite() override;
-	AgentSite(const AgentSite &) = delete;
-	AgentSite &operator=(const AgentSite &) = delete;
+	SimulatedAgents(size_t boxes, Millis run_time);
+	~SimulatedAgents() override;
+	SimulatedAgents(const SimulatedAgents &) = delete;
+	SimulatedAgents &operator=(const SimulatedAgents &) = delete;
 
 	/** @return Reports of all boxes. @param service Their service. @param room What each has. */
 	[[nodiscard]] std::vector<BoxReport> Reports(const ServiceName &service, const Resources &room) const;
@@ -28,10 +28,10 @@
 
 private:
 	/** A lease order whose answer waits for an end. */
-	class Poll;
+	class WaitingLeaseOrder;
 
 	/** A run that has ended. */
-	struct End {
+	struct EndedRun {
 		uint64_t number = 0; ///< Rises with each end.
 		std::string task;    ///< Name of the task.
 		int64_t run = 0;     ///< Which start.
@@ -40,15 +40,15 @@
 	/** A box. */
 	struct Agent {
 		std::unordered_map<std::string, int64_t> running; ///< Which start, by name of the task.
-		std::vector<End> ended;                           ///< Ends that the owner hasn't recorded.
+		std::vector<EndedRun> ended;                      ///< Ends that the owner hasn't recorded.
 		uint64_t ends = 0;                                ///< Number of the last end.
-		std::weak_ptr<Poll> waiting;                      ///< The lease order that waits.
+		std::weak_ptr<WaitingLeaseOrder> waiting_order;   ///< The lease order that waits.
 	};
 
 	size_t boxes;                                  ///< Number of boxes.
 	Millis run_time;                               ///< Time that each run takes.
 	QThread thread;                                ///< Serves all of them.
-	QObject anchor;                                ///< Lives on it.
+	QObject thread_context;                        ///< Lives on it.
 	std::unique_ptr<QtScheduler> scheduler;        ///< Clock of the thread.
 	std::unique_ptr<CallerListener> listener;      ///< Accepts.
 	CallerLimits limits;                           ///< Of connections.
@@ -58,7 +58,7 @@
 
 	void OnThread(const std::function<void()> &run);
 	void Start(Agent &agent, const std::string &task, int64_t run);
-	[[nodiscard]] std::string Listed(const Agent &agent) const;
+	[[nodiscard]] std::string LeaseReply(const Agent &agent) const;
 };
 
-#endif /* AGENT_SITE_H */
+#endif /* SIMULATED_AGENTS_H */
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -41,26 +41,26 @@
 	if (const std::optional<int> end = ParseArguments(USAGE, "glade_soak", argc, argv, args); end) {
 		return *end;
 	}
-	SoakPlan plan;
-	plan.program = args["--node"].asString();
-	plan.folder = args["--folder"].asString();
-	plan.seed = static_cast<uint32_t>(args["--seed"].asLong());
-	plan.faults_for = Millis(args["--seconds"].asLong() * MS_PER_SECOND);
-	plan.nodes = static_cast<int>(args["--nodes"].asLong());
-	plan.boxes = static_cast<int>(args["--boxes"].asLong());
-	plan.jobs_per_second = static_cast<int>(args["--jobs"].asLong());
-	plan.first_port = static_cast<quint16>(args["--port"].asLong());
-	plan.calm = args["--calm"].asBool();
-	std::filesystem::create_directories(plan.folder);
-	SoakWorld world(plan);
+	SoakOptions options;
+	options.program = args["--node"].asString();
+	options.folder = args["--folder"].asString();
+	options.seed = static_cast<uint32_t>(args["--seed"].asLong());
+	options.faults_for = Millis(args["--seconds"].asLong() * MS_PER_SECOND);
+	options.nodes = static_cast<int>(args["--nodes"].asLong());
+	options.boxes = static_cast<int>(args["--boxes"].asLong());
+	options.jobs_per_second = static_cast<int>(args["--jobs"].asLong());
+	options.first_port = static_cast<quint16>(args["--port"].asLong());
+	options.calm = args["--calm"].asBool();
+	std::filesystem::create_directories(options.folder);
+	SoakWorld world(options);
 	if (!world.Start([] { QCoreApplication::exit(0); })) {
 		std::cerr << "the stand-ins can't listen\n";
 		return static_cast<int>(ExitCode::EC_ADDRESS);
 	}
 	QCoreApplication::exec();
-	for (const std::string &it : world.Broken()) {
+	for (const std::string &it : world.Failures()) {
 		std::cout << "broken: " << it << '\n';
 	}
 	std::cout << world.Summary() << '\n';
-	return static_cast<int>(world.Broken().empty() ? ExitCode::EC_OK : ExitCode::EC_FAILED);
+	return static_cast<int>(world.Failures().empty() ? ExitCode::EC_OK : ExitCode::EC_FAILED);
 }
--- a/tests/soak/soak_boxes.cpp
+++ b/tests/soak/soak_boxes.cpp
@@ -9,41 +9,42 @@
 
 namespace {
 
-QString TextOf(std::string_view text)
+QString ToQString(std::string_view text)
 {
 	return QString::fromUtf8(text.data(), static_cast<qsizetype>(text.size()));
 }
 
-constexpr Millis POLL_EVERY(10);    ///< A waiting answer looks for an end so often.
-constexpr Millis LATE_BY(2500);     ///< An order that is done late comes after this.
-constexpr Millis MAINTAIN_FOR(600); ///< A box that is maintained is away for so long.
-constexpr int HUNDRED = 100;        ///< Percent.
-constexpr double SLOW_CLOCK = 0.98; ///< Rate of the clock of every second box.
-constexpr size_t FAST_OF = 2;       ///< See SLOW_CLOCK.
+constexpr Millis POLL_INTERVAL(10);      ///< A waiting answer looks for an end so often.
+constexpr Millis LATE_DELAY(2500);       ///< An order that is done late comes after this.
+constexpr Millis MAINTENANCE_TIME(600);  ///< A box that is maintained is away for so long.
+constexpr int PERCENT = 100;             ///< Percent.
+constexpr double SLOW_CLOCK_RATE = 0.98; ///< Rate of the clock of every second box.
+constexpr size_t SLOW_CLOCK_ONE_IN = 2;  ///< See SLOW_CLOCK_RATE.
 
-double RateOf(const BoxReport &box)
+double ClockRate(const BoxReport &box)
 {
-	return std::hash<std::string>()(box.box.Value()) % FAST_OF == 0 ? SLOW_CLOCK : 1.0;
+	return std::hash<std::string>()(box.box.Value()) % SLOW_CLOCK_ONE_IN == 0 ? SLOW_CLOCK_RATE : 1.0;
 }
 
 } // namespace
 
 SoakBoxes::SoakBoxes(QtScheduler &scheduler, uint32_t seed)
 		: site(scheduler), scheduler(scheduler), random(seed),
-		  agents(scheduler, [this](const Answering &to, const CallerRequest &it) { this->ServeAgent(to, it); }),
-		  control(scheduler, [this](const Answering &to, const CallerRequest &it) { this->ServeControl(to, it); })
+		  agents(scheduler, [this](const DeferredAnswerPtr &to, const CallerRequest &it) { this->ServeAgent(to, it); }),
+		  control(scheduler,
+				  [this](const DeferredAnswerPtr &to, const CallerRequest &it) { this->ServeControl(to, it); })
 {
 }
 
 Millis SoakBoxes::ClockOf(const BoxReport &box) const
 {
 	const Millis since = this->site.ClockOf(box.box);
-	return Millis(static_cast<int64_t>(static_cast<double>(since.Value()) * RateOf(box)));
+	return Millis(static_cast<int64_t>(static_cast<double>(since.Value()) * ClockRate(box)));
 }
 
-Millis SoakBoxes::WorldTime(const BoxReport &box, Millis box_time) const
+Millis SoakBoxes::ToSchedulerTime(const BoxReport &box, Millis box_time) const
 {
-	return Millis(static_cast<int64_t>(static_cast<double>(box_time.Value()) / RateOf(box)));
+	return Millis(static_cast<int64_t>(static_cast<double>(box_time.Value()) / ClockRate(box)));
 }
 
 std::optional<BoxReport> SoakBoxes::BoxOf(const CallerRequest &request) const
@@ -56,23 +57,23 @@
 	return it == all.end() ? std::nullopt : std::optional(*it);
 }
 
-QJsonObject SoakBoxes::Written(const BoxReport &box, const OrderAnswer &answer, int &status) const
+QJsonObject SoakBoxes::AnswerJson(const BoxReport &box, const OrderAnswer &answer, int &status) const
 {
 	QJsonObject json{{"clock-ms", static_cast<qint64>(this->ClockOf(box).Value())}};
 	status = answer.outcome == OrderOutcome::OO_DONE ? 200 : 409;
 	if (answer.outcome == OrderOutcome::OO_OTHER_INCARNATION) {
 		status = 421;
 	} else if (status != 200) {
-		json["reason"] = TextOf(RefusalReasonName(answer.outcome));
+		json["reason"] = ToQString(RefusalReasonName(answer.outcome));
 	}
 	return json;
 }
 
-void SoakBoxes::ServeAgent(const Answering &answer, const CallerRequest &request)
+void SoakBoxes::ServeAgent(const DeferredAnswerPtr &answer, const CallerRequest &request)
 {
 	const std::optional<BoxReport> box = this->BoxOf(request);
 	if (box && this->site.Down(box->box)) {
-		answer->Cut();
+		answer->Disconnect();
 		return;
 	}
 	if (!box) {
@@ -83,7 +84,7 @@
 	const FenceToken fence(static_cast<uint64_t>(json["fencing-token"].toInteger()));
 	const TaskId task = ParseTaskId(json["task"].toString().toStdString());
 	const RunNumber run(static_cast<uint32_t>(json["run-id"].toInteger()));
-	const Millis until = this->WorldTime(*box, Millis(json["expiry-ms"].toInteger()));
+	const Millis until = this->ToSchedulerTime(*box, Millis(json["expiry-ms"].toInteger()));
 	std::function<OrderAnswer()> work;
 	if (request.target == "/v1/run-start") {
 		StartOrder order;
@@ -110,53 +111,53 @@
 		return;
 	}
 	const SoakBoxFaults &bad = this->faults[box->box];
-	if (static_cast<int>(this->random() % HUNDRED) < bad.lose_percent) {
-		this->scheduler.After(bad.late ? LATE_BY : Millis(0), [work] { work(); });
-		answer->Cut();
+	if (static_cast<int>(this->random() % PERCENT) < bad.lose_percent) {
+		this->scheduler.After(bad.late ? LATE_DELAY : Millis(0), [work] { work(); });
+		answer->Disconnect();
 		return;
 	}
 	int status = 0;
-	const QJsonObject out = this->Written(*box, work(), status);
+	const QJsonObject out = this->AnswerJson(*box, work(), status);
 	answer->Answer(status, out);
 }
 
-void SoakBoxes::Lease(const Answering &answer, const BoxReport &box, LeaseOrder order, Millis until)
+void SoakBoxes::Lease(const DeferredAnswerPtr &answer, const BoxReport &box, LeaseOrder order, Millis until)
 {
-	if (!answer->Waits()) {
+	if (!answer->IsPending()) {
 		return;
 	}
 	/* An answer that waits is gone with the life that took the call. */
-	if (this->site.Down(box.box) || this->site.LifeOf(box.box) != box.incarnation) {
-		answer->Cut();
+	if (this->site.Down(box.box) || this->site.IncarnationOf(box.box) != box.incarnation) {
+		answer->Disconnect();
 		return;
 	}
 	const LeaseAnswer seen = this->site.Lease(box, order);
 	const bool nothing = seen.order.outcome == OrderOutcome::OO_DONE && seen.ended.empty();
 	if (nothing && this->scheduler.Now() < until) {
 		order.lease_until.reset();
-		this->scheduler.After(POLL_EVERY,
+		this->scheduler.After(POLL_INTERVAL,
 							  [this, answer, box, order, until] { this->Lease(answer, box, order, until); });
 		return;
 	}
 	int status = 0;
-	QJsonObject json = this->Written(box, seen.order, status);
+	QJsonObject json = this->AnswerJson(box, seen.order, status);
 	json["born"] = static_cast<qint64>(box.incarnation.started.Value());
 	QJsonArray running;
 	for (const RunningRow &it : seen.running) {
-		running.append(QJsonArray{TextOf(FormatTaskId(it.task)), static_cast<qint64>(it.run.Value()), "",
+		running.append(QJsonArray{ToQString(FormatTaskId(it.task)), static_cast<qint64>(it.run.Value()), "",
 								  static_cast<qint64>(it.share), 0});
 	}
 	QJsonArray ended;
 	for (const EndedRow &it : seen.ended) {
-		ended.append(QJsonArray{static_cast<qint64>(it.number), TextOf(FormatTaskId(it.task)),
-								static_cast<qint64>(it.run.Value()), TextOf(RunEndingName(it.ending)), ""});
+		ended.append(QJsonArray{static_cast<qint64>(it.number), ToQString(FormatTaskId(it.task)),
+								static_cast<qint64>(it.run.Value()), ToQString(RunEndingName(it.ending)), ""});
 	}
 	json["running"] = running;
 	json["finished"] = ended;
 	answer->Answer(status, json);
 }
 
-void SoakBoxes::ServeControl(const Answering &answer, const CallerRequest &request)
+void SoakBoxes::ServeControl(const DeferredAnswerPtr &answer, const CallerRequest &request)
 {
 	if (PathOf(request.target) == "/v1/machine-upkeep") {
 		this->Maintain(answer, request);
@@ -179,7 +180,7 @@
 	answer->Answer(200, QJsonObject{{"machines", rows}});
 }
 
-void SoakBoxes::Maintain(const Answering &answer, const CallerRequest &request)
+void SoakBoxes::Maintain(const DeferredAnswerPtr &answer, const CallerRequest &request)
 {
 	const std::string machine = JsonOf(request.body)["machine"].toString().toStdString();
 	const std::string *token = request.headers.Find("X-Fencing-Token");
@@ -190,6 +191,6 @@
 	}
 	this->fences[machine] = fence;
 	this->site.Restart(BoxName(machine));
-	this->scheduler.After(MAINTAIN_FOR, [this] { this->on_restart(); });
+	this->scheduler.After(MAINTENANCE_TIME, [this] { this->on_restart(); });
 	answer->Answer(200, std::string("{}"));
 }
--- a/tests/soak/soak_boxes.h
+++ b/tests/soak/soak_boxes.h
@@ -39,14 +39,14 @@
 
 	using Work = std::function<QJsonObject(const BoxReport &, int &status)>;
 
-	void ServeAgent(const Answering &answer, const CallerRequest &request);
-	void ServeControl(const Answering &answer, const CallerRequest &request);
-	void Maintain(const Answering &answer, const CallerRequest &request);
-	void Lease(const Answering &answer, const BoxReport &box, LeaseOrder order, Millis until);
+	void ServeAgent(const DeferredAnswerPtr &answer, const CallerRequest &request);
+	void ServeControl(const DeferredAnswerPtr &answer, const CallerRequest &request);
+	void Maintain(const DeferredAnswerPtr &answer, const CallerRequest &request);
+	void Lease(const DeferredAnswerPtr &answer, const BoxReport &box, LeaseOrder order, Millis until);
 	[[nodiscard]] std::optional<BoxReport> BoxOf(const CallerRequest &request) const;
 	[[nodiscard]] Millis ClockOf(const BoxReport &box) const;
-	[[nodiscard]] Millis WorldTime(const BoxReport &box, Millis box_time) const;
-	QJsonObject Written(const BoxReport &box, const OrderAnswer &answer, int &status) const;
+	[[nodiscard]] Millis ToSchedulerTime(const BoxReport &box, Millis box_time) const;
+	QJsonObject AnswerJson(const BoxReport &box, const OrderAnswer &answer, int &status) const;
 };
 
 #endif /* SOAK_BOXES_H */
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr Millis PATIENCE(3000);       ///< Callers wait so long for an answer.
-constexpr Millis PATIENCE_SLACK(400);  ///< Beyond it, a connection that ends is the caller's own doing.
-constexpr Millis RETRY(300);           ///< Before a caller tries again.
-constexpr Millis VISIBLE_WITHIN(3000); ///< An accepted job must be known from then on.
-constexpr int TRIES = 8;               ///< Times that a caller hands a job in.
-constexpr uint32_t LASTING_OF = 8;     ///< One job of so many lasts.
-constexpr uint32_t HOPELESS_OF = 20;   ///< One job of so many can't be done.
-constexpr size_t CRASHING_OF = 17;     ///< One job of so many, unless it lasts, crashes the boxes that start it.
-constexpr uint32_t CANCEL_OF = 10;     ///< One job of so many is cancelled.
+constexpr Millis CALL_TIMEOUT(3000);      ///< Callers wait so long for an answer.
+constexpr Millis CALL_TIMEOUT_SLACK(400); ///< Beyond it, a connection that ends is the caller's own doing.
+constexpr Millis RETRY_DELAY(300);        ///< Before a caller tries again.
+constexpr Millis VISIBILITY_DELAY(3000);  ///< An accepted job must be known from then on.
+constexpr int MAX_ATTEMPTS = 8;           ///< Times that a caller hands a job in.
+constexpr uint32_t LASTING_ONE_IN = 8;    ///< One job of so many lasts.
+constexpr uint32_t FAILING_ONE_IN = 20;   ///< One job of so many can't be done.
+constexpr size_t CRASHING_ONE_IN = 17;    ///< One job of so many, unless it lasts, crashes the boxes that start it.
+constexpr uint32_t CANCELLED_ONE_IN = 10; ///< One job of so many is cancelled.
 
 QJsonObject StepJson(const StepSpec &step)
 {
@@ -53,32 +53,32 @@
 {
 	auto job = std::make_unique<SoakJob>();
 	const std::string digits = std::to_string(this->jobs.size());
-	job->service = this->Pick(2) == 0 ? "calc" : "grid";
+	job->service = this->RandomBelow(2) == 0 ? "calc" : "grid";
 	job->spec.id = JobId(std::string(16 - digits.size(), 'a') + digits);
 	job->spec.payload = "payload of " + digits;
-	SiteJob known;
-	known.run_time = this->Between(100, 900);
-	known.fail_first = this->Pick(10) == 0 ? 1 : 0;
+	SiteJob site_job;
+	site_job.run_time = this->RandomMillis(100, 900);
+	site_job.fail_first = this->RandomBelow(10) == 0 ? 1 : 0;
 	job->expected = "completed";
-	if (this->Pick(LASTING_OF) == 0) {
-		StepSpec step = PlainStep(2 + this->Pick(2), known.run_time);
+	if (this->RandomBelow(LASTING_ONE_IN) == 0) {
+		StepSpec step = PlainStep(2 + this->RandomBelow(2), site_job.run_time);
 		step.lasting = true;
 		step.per_box = 1;
 		step.absent_max = 1;
 		job->spec.steps = {step};
 		job->expected = "running";
-		job->cancel_wanted = this->Pick(2) == 0;
+		job->cancel_wanted = this->RandomBelow(2) == 0;
 	} else {
-		StepSpec last = PlainStep(1, known.run_time);
+		StepSpec last = PlainStep(1, site_job.run_time);
 		last.after = {0};
-		job->spec.steps = {PlainStep(1 + this->Pick(4), known.run_time), last};
-		job->cancel_wanted = this->Pick(CANCEL_OF) == 0;
-		if (this->Pick(HOPELESS_OF) == 0) {
-			known.fail_first = known.failures_max;
+		job->spec.steps = {PlainStep(1 + this->RandomBelow(4), site_job.run_time), last};
+		job->cancel_wanted = this->RandomBelow(CANCELLED_ONE_IN) == 0;
+		if (this->RandomBelow(FAILING_ONE_IN) == 0) {
+			site_job.fail_first = site_job.failures_max;
 			job->expected = "failed";
 		}
-		if (this->jobs.size() % CRASHING_OF == CRASHING_OF - 1) {
-			known.crashing_tasks = {0};
+		if (this->jobs.size() % CRASHING_ONE_IN == CRASHING_ONE_IN - 1) {
+			site_job.crashing_tasks = {0};
 			job->expected = "failed";
 		}
 	}
@@ -87,113 +87,116 @@
 		steps.append(StepJson(it));
 	}
 	job->body = BodyOf(QJsonObject{{"spec", QString::fromStdString(job->spec.payload)}, {"steps", steps}});
-	known.spec = job->spec;
-	known.service = ServiceName(job->service);
-	this->boxes.site.AddJob(known);
+	site_job.spec = job->spec;
+	site_job.service = ServiceName(job->service);
+	this->boxes.site.AddJob(site_job);
 	return job;
 }
 
-void SoakWorld::NextJob()
+void SoakWorld::SubmitNextJob()
 {
-	if (this->calm) {
+	if (this->load_ended) {
 		return;
 	}
 	this->jobs.push_back(this->MakeJob());
 	SoakJob &job = *this->jobs.back();
-	this->HandIn(job);
+	this->Submit(job);
 	if (job.cancel_wanted) {
-		this->scheduler.After(this->Between(300, 4000), [this, &job] { this->Cancel(job); });
+		this->scheduler.After(this->RandomMillis(300, 4000), [this, &job] { this->Cancel(job); });
 	}
-	constexpr int64_t MEAN_OF = 2000;
-	this->scheduler.After(this->Between(1, MEAN_OF / this->plan.jobs_per_second), [this] { this->NextJob(); });
+	constexpr int64_t DOUBLE_SECOND_MS = 2000;
+	this->scheduler.After(this->RandomMillis(1, DOUBLE_SECOND_MS / this->options.jobs_per_second),
+						  [this] { this->SubmitNextJob(); });
 }
 
 void SoakWorld::Send(SoakNode &node, const char *method, const std::string &path, const std::string &body,
 					 const std::function<void(const HttpReply &)> &then)
 {
-	HttpCallSpec spec{node.Address(), {}, PATIENCE + PATIENCE_SLACK};
+	HttpCallSpec spec{node.Address(), {}, CALL_TIMEOUT + CALL_TIMEOUT_SLACK};
 	spec.request.method = method;
 	spec.request.target = path;
 	spec.request.headers.Add("Host", "soak");
-	spec.request.headers.Add("X-Deadline-Ms", std::to_string(PATIENCE.Value()));
+	spec.request.headers.Add("X-Deadline-Ms", std::to_string(CALL_TIMEOUT.Value()));
 	spec.request.headers.Add("Authorization", "Token " + this->keys.back());
 	spec.request.body = body;
 	const Millis sent = this->scheduler.Now();
-	const bool stopping = node.OnlyStopping();
-	this->caller.Call(spec, [this, then, sent, stopping, &node, method, path,
-							 key = this->keys.back()](const HttpReply &reply) {
-		constexpr int NO_KEY = 401;
-		if (reply.result == CallResult::CR_ANSWERED && reply.status == NO_KEY &&
-			std::ranges::find(this->keys, key) != this->keys.end()) {
-			this->broken.push_back(std::string("a good key was refused by ") + node.Address() + ": " + method + " " +
-								   path);
-		}
-		const bool cut = reply.result == CallResult::CR_UNKNOWN && this->scheduler.Now() - sent < PATIENCE;
-		/* Over a connection that stood, or a new one: read whole, or not at all; but not cut while it is served. */
-		if (cut && stopping && node.OnlyStopping() && this->store_harm == 0) {
-			this->broken.push_back(std::string("a planned stop of ") + node.Address() + " cut " + method + " " + path);
-		}
-		then(reply);
-	});
+	const bool stopping = node.InUndisturbedStop();
+	this->caller.Call(
+			spec, [this, then, sent, stopping, &node, method, path, key = this->keys.back()](const HttpReply &reply) {
+				constexpr int STATUS_UNAUTHORIZED = 401;
+				if (reply.result == CallResult::CR_ANSWERED && reply.status == STATUS_UNAUTHORIZED &&
+					std::ranges::find(this->keys, key) != this->keys.end()) {
+					this->failures.push_back(std::string("a good key was refused by ") + node.Address() + ": " +
+											 method + " " + path);
+				}
+				const bool cut = reply.result == CallResult::CR_UNKNOWN && this->scheduler.Now() - sent < CALL_TIMEOUT;
+				/* Over a connection that stood, or a new one: read whole, or not at all; but not cut while it is
+				 * served. */
+				if (cut && stopping && node.InUndisturbedStop() && this->active_store_faults == 0) {
+					this->failures.push_back(std::string("a planned stop of ") + node.Address() + " cut " + method +
+											 " " + path);
+				}
+				then(reply);
+			});
 }
 
-void SoakWorld::HandIn(SoakJob &job)
+void SoakWorld::Submit(SoakJob &job)
 {
-	SoakNode &node = this->AnyNode();
-	job.tries++;
+	SoakNode &node = this->RandomNode();
+	job.attempts++;
 	this->Send(node, "POST", "/" + job.service + "/" + job.spec.id.Value(), job.body,
-			   [this, &job](const HttpReply &reply) { this->OnHandedIn(job, reply); });
+			   [this, &job](const HttpReply &reply) { this->OnSubmitReply(job, reply); });
 }
 
-void SoakWorld::OnHandedIn(SoakJob &job, const HttpReply &reply)
+void SoakWorld::OnSubmitReply(SoakJob &job, const HttpReply &reply)
 {
-	constexpr int OK = 200;
+	constexpr int STATUS_OK = 200;
 	const bool refused = reply.result == CallResult::CR_NOT_SENT ||
 						 (reply.result == CallResult::CR_ANSWERED && (reply.status == 503 || reply.status == 429));
-	if (reply.result == CallResult::CR_ANSWERED && reply.status == OK) {
+	if (reply.result == CallResult::CR_ANSWERED && reply.status == STATUS_OK) {
 		job.accepted_at = this->scheduler.Now();
-		if (this->Pick(3) == 0) {
-			this->scheduler.After(VISIBLE_WITHIN, [this, &job] { this->Ask(job); });
+		if (this->RandomBelow(3) == 0) {
+			this->scheduler.After(VISIBILITY_DELAY, [this, &job] { this->PollState(job); });
 		}
 		return;
 	}
 	job.uncertain = job.uncertain || !refused;
-	if (job.tries < TRIES && !job.accepted_at) {
-		this->scheduler.After(RETRY, [this, &job] { this->HandIn(job); });
+	if (job.attempts < MAX_ATTEMPTS && !job.accepted_at) {
+		this->scheduler.After(RETRY_DELAY, [this, &job] { this->Submit(job); });
 	}
 }
 
 void SoakWorld::Cancel(SoakJob &job)
 {
 	this->boxes.site.JobOf(job.spec.id).cancel_sent = true;
-	this->Send(this->AnyNode(), "DELETE", "/" + job.service + "/" + job.spec.id.Value(), {},
+	this->Send(this->RandomNode(), "DELETE", "/" + job.service + "/" + job.spec.id.Value(), {},
 			   [this, &job](const HttpReply &reply) {
 				   if (reply.result == CallResult::CR_ANSWERED && reply.status == 200) {
 					   job.cancelled = true;
 					   this->boxes.site.JobOf(job.spec.id).cancelled_at = this->scheduler.Now();
 				   } else {
-					   this->scheduler.After(RETRY, [this, &job] { this->Cancel(job); });
+					   this->scheduler.After(RETRY_DELAY, [this, &job] { this->Cancel(job); });
 				   }
 			   });
 }
 
-void SoakWorld::Ask(SoakJob &job)
+void SoakWorld::PollState(SoakJob &job)
 {
-	if (job.asking) {
+	if (job.poll_pending) {
 		return;
 	}
-	job.asking = true;
-	this->Send(this->AnyNode(), "GET", "/" + job.service + "/" + job.spec.id.Value(), {},
+	job.poll_pending = true;
+	this->Send(this->RandomNode(), "GET", "/" + job.service + "/" + job.spec.id.Value(), {},
 			   [this, &job](const HttpReply &reply) {
-				   job.asking = false;
+				   job.poll_pending = false;
 				   if (reply.result != CallResult::CR_ANSWERED) {
 					   return;
 				   }
 				   if (reply.status == 200) {
 					   job.state = JsonOf(reply.body)["state"].toString().toStdString();
 				   } else if (reply.status == 410 && job.accepted_at &&
-							  this->scheduler.Now() - *job.accepted_at >= VISIBLE_WITHIN) {
-					   this->broken.push_back("an accepted job is not known: " + job.spec.id.Value());
+							  this->scheduler.Now() - *job.accepted_at >= VISIBILITY_DELAY) {
+					   this->failures.push_back("an accepted job is not known: " + job.spec.id.Value());
 				   }
 			   });
 }
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -5,45 +5,45 @@
 
 namespace {
 
-constexpr int LOSE_PERCENT = 30; ///< Of appends or orders, while answers are lost.
-constexpr Millis SLOW(300);      ///< Added to each answer of a slow store.
+constexpr int LOSE_PERCENT = 30;          ///< Of appends or orders, while answers are lost.
+constexpr Millis SLOW_STORE_LATENCY(300); ///< Added to each answer of a slow store.
 
 } // namespace
 
-std::function<void()> SoakWorld::HarmStore(const std::function<void()> &begin, const std::function<void()> &end)
+std::function<void()> SoakWorld::InjectStoreFault(const std::function<void()> &begin, const std::function<void()> &end)
 {
 	begin();
-	this->store_harm++;
+	this->active_store_faults++;
 	for (const auto &it : this->nodes) {
-		it->NoteHarm();
+		it->MarkFaulted();
 	}
 	return [this, end] {
 		end();
-		this->store_harm--;
+		this->active_store_faults--;
 	};
 }
 
-PartitionId SoakWorld::AnyPartition()
+PartitionId SoakWorld::RandomPartition()
 {
 	/* Those that owners record in: a queue's or the fleet's, main or spare. */
 	const std::array topics = {"keyed.jobs.calc", "keyed.jobs.grid", "keyed.fleet"};
-	const char *topic = topics[this->Pick(topics.size())];
-	return PartitionId{topic, this->Pick(2)};
+	const char *topic = topics[this->RandomBelow(topics.size())];
+	return PartitionId{topic, this->RandomBelow(2)};
 }
 
-void SoakWorld::ListFaults()
+void SoakWorld::DefineFaults()
 {
 	const auto nothing = [] { return std::function<void()>(); };
 	SoakStoreFaults &bad = this->store.faults;
-	this->kinds = {
+	this->fault_kinds = {
 			{"kill",
 			 [this, nothing] {
-				 this->AnyNode().Kill(this->Between(100, 2500));
+				 this->RandomNode().Kill(this->RandomMillis(100, 2500));
 				 return nothing();
 			 }},
 			{"kill_all",
 			 [this, nothing] {
-				 const Millis pause = this->Between(100, 2500);
+				 const Millis pause = this->RandomMillis(100, 2500);
 				 for (const auto &it : this->nodes) {
 					 it->Kill(pause);
 				 }
@@ -51,79 +51,82 @@
 			 }},
 			{"freeze",
 			 [this, nothing] {
-				 this->AnyNode().Freeze(this->Between(300, 5000));
+				 this->RandomNode().Freeze(this->RandomMillis(300, 5000));
 				 return nothing();
 			 }},
 			{"planned_stop",
 			 [this, nothing] {
-				 this->AnyNode().Stop();
+				 this->RandomNode().Stop();
 				 return nothing();
 			 }},
 			{"reload",
 			 [this, nothing] {
-				 this->AnyNode().Reload();
+				 this->RandomNode().Reload();
 				 return nothing();
 			 }},
 			{"store_way",
 			 [this] {
-				 SoakNode &node = this->AnyNode();
+				 SoakNode &node = this->RandomNode();
 				 const std::array all = {ProxyFault::PF_DELAY, ProxyFault::PF_SILENT, ProxyFault::PF_ONE_WAY,
 										 ProxyFault::PF_RESET};
-				 node.NoteHarm();
-				 node.way.Set(all[this->Pick(all.size())]);
-				 return std::function<void()>([&node] { node.way.Set(ProxyFault::PF_NONE); });
+				 node.MarkFaulted();
+				 node.proxy.Set(all[this->RandomBelow(all.size())]);
+				 return std::function<void()>([&node] { node.proxy.Set(ProxyFault::PF_NONE); });
 			 }},
 			{"box_way",
 			 [this] {
-				 SoakProxy &way = *this->box_ways[this->Pick(static_cast<uint32_t>(this->box_ways.size()))];
+				 SoakProxy &proxy =
+						 *this->box_proxies[this->RandomBelow(static_cast<uint32_t>(this->box_proxies.size()))];
 				 const std::array all = {ProxyFault::PF_DELAY, ProxyFault::PF_SILENT, ProxyFault::PF_ONE_WAY,
 										 ProxyFault::PF_RESET};
-				 way.Set(all[this->Pick(all.size())]);
-				 return std::function<void()>([&way] { way.Set(ProxyFault::PF_NONE); });
+				 proxy.Set(all[this->RandomBelow(all.size())]);
+				 return std::function<void()>([&proxy] { proxy.Set(ProxyFault::PF_NONE); });
 			 }},
 			{"box_orders",
 			 [this] {
 				 const std::vector<BoxReport> all = this->boxes.site.Reports();
-				 const BoxName box = all[this->Pick(static_cast<uint32_t>(all.size()))].box;
-				 this->boxes.faults[box] = SoakBoxFaults{LOSE_PERCENT, this->Pick(2) == 0};
+				 const BoxName box = all[this->RandomBelow(static_cast<uint32_t>(all.size()))].box;
+				 this->boxes.faults[box] = SoakBoxFaults{LOSE_PERCENT, this->RandomBelow(2) == 0};
 				 return std::function<void()>([this, box] { this->boxes.faults.erase(box); });
 			 }},
 			{"box_restart",
 			 [this, nothing] {
 				 const std::vector<BoxReport> all = this->boxes.site.Reports();
-				 this->boxes.site.Restart(all[this->Pick(static_cast<uint32_t>(all.size()))].box);
+				 this->boxes.site.Restart(all[this->RandomBelow(static_cast<uint32_t>(all.size()))].box);
 				 return nothing();
 			 }},
 			{"open_silent",
 			 [this, nothing] {
 				 /* All connections of all nodes, or one node's to the store, or those to one box. */
-				 const uint32_t what = this->Pick(3);
+				 const uint32_t what = this->RandomBelow(3);
 				 if (what == 2) {
-					 this->box_ways[this->Pick(static_cast<uint32_t>(this->box_ways.size()))]->SilenceOpen();
+					 this->box_proxies[this->RandomBelow(static_cast<uint32_t>(this->box_proxies.size()))]
+							 ->SilenceOpenConnections();
 					 return nothing();
 				 }
-				 SoakNode &one = this->AnyNode();
+				 SoakNode &one = this->RandomNode();
 				 for (const auto &it : this->nodes) {
 					 if (what == 0 || it.get() == &one) {
-						 it->NoteHarm();
-						 it->way.SilenceOpen();
+						 it->MarkFaulted();
+						 it->proxy.SilenceOpenConnections();
 					 }
 				 }
 				 return nothing();
 			 }},
 			{"store_partition",
 			 [this, &bad] {
-				 const PartitionId one = this->AnyPartition();
-				 return this->HarmStore([&bad, one] { bad.mute.insert(one); }, [&bad, one] { bad.mute.erase(one); });
+				 const PartitionId one = this->RandomPartition();
+				 return this->InjectStoreFault([&bad, one] { bad.silent_partitions.insert(one); },
+											   [&bad, one] { bad.silent_partitions.erase(one); });
 			 }},
 			{"store_refuses",
 			 [this, &bad] {
-				 return this->HarmStore([&bad] { bad.refusing = true; }, [&bad] { bad.refusing = false; });
+				 return this->InjectStoreFault([&bad] { bad.unavailable = true; }, [&bad] { bad.unavailable = false; });
 			 }},
 			{"store_loses",
 			 [this, &bad] {
-				 const bool late = this->Pick(2) == 0;
-				 return this->HarmStore(
+				 const bool late = this->RandomBelow(2) == 0;
+				 return this->InjectStoreFault(
 						 [&bad, late] {
 							 bad.lose_percent = LOSE_PERCENT;
 							 bad.late = late;
@@ -131,7 +134,10 @@
 						 [&bad] { bad.lose_percent = 0; });
 			 }},
 			{"store_slow",
-			 [this, &bad] { return this->HarmStore([&bad] { bad.slow = SLOW; }, [&bad] { bad.slow = Millis(0); }); }},
+			 [this, &bad] {
+				 return this->InjectStoreFault([&bad] { bad.added_latency = SLOW_STORE_LATENCY; },
+											   [&bad] { bad.added_latency = Millis(0); });
+			 }},
 			{"store_forgets",
 			 [this, nothing] {
 				 this->store.store.Compact();
@@ -151,7 +157,7 @@
 			 [this, nothing] {
 				 const std::vector<BoxReport> all = this->boxes.site.Reports();
 				 const std::string number = std::to_string(++this->wave);
-				 const std::string box = all[this->Pick(static_cast<uint32_t>(all.size()))].box.Value();
+				 const std::string box = all[this->RandomBelow(static_cast<uint32_t>(all.size()))].box.Value();
 				 this->store.store.Append(
 						 PartitionId{"keyed.op", 0},
 						 {KeyedRecord{"wave/" + number, R"({"wave":)" + number + R"(,"machines":[")" + box +
--- a/tests/soak/soak_http.cpp
+++ b/tests/soak/soak_http.cpp
@@ -6,7 +6,7 @@
 
 #include <utility>
 
-void LateAnswer::Answer(int status, const std::string &body)
+void DeferredAnswer::Answer(int status, const std::string &body)
 {
 	if (CallerSink *to = std::exchange(this->sink, nullptr); to != nullptr) {
 		ResponseHead head;
@@ -18,19 +18,19 @@
 	}
 }
 
-void LateAnswer::Answer(int status, const QJsonObject &json)
+void DeferredAnswer::Answer(int status, const QJsonObject &json)
 {
 	this->Answer(status, BodyOf(json));
 }
 
-void LateAnswer::Cut()
+void DeferredAnswer::Disconnect()
 {
 	if (CallerSink *to = std::exchange(this->sink, nullptr); to != nullptr) {
 		to->Abort();
 	}
 }
 
-SoakListener::SoakListener(QtScheduler &scheduler, Serving serve)
+SoakListener::SoakListener(QtScheduler &scheduler, ServeFunction serve)
 		: serve(std::move(serve)), listener([this, &scheduler](qintptr descriptor) {
 			  new CallerLink(scheduler, *this, this->limits, this->open, descriptor);
 		  })
@@ -44,9 +44,9 @@
 
 std::shared_ptr<ServedRequest> SoakListener::Serve(CallerSink &sink, CallerRequest request)
 {
-	auto answer = std::make_shared<LateAnswer>(sink);
+	auto answer = std::make_shared<DeferredAnswer>(sink);
 	this->serve(answer, request);
-	return answer->Waits() ? answer : nullptr;
+	return answer->IsPending() ? answer : nullptr;
 }
 
 QUrlQuery QueryOf(const std::string &target)
--- a/tests/soak/soak_http.h
+++ b/tests/soak/soak_http.h
@@ -8,9 +8,9 @@
 #include <QUrlQuery>
 
 /** A request that is answered later, unless its caller leaves. */
-class LateAnswer : public ServedRequest {
+class DeferredAnswer : public ServedRequest {
 public:
-	explicit LateAnswer(CallerSink &sink) : sink(&sink) {}
+	explicit DeferredAnswer(CallerSink &sink) : sink(&sink) {}
 
 	void OnCallerDisconnected() override { this->sink = nullptr; }
 	void OnCallerWritable() override {}
@@ -20,24 +20,24 @@
 	/** Answers with JSON. @param status HTTP status. @param json The body. */
 	void Answer(int status, const QJsonObject &json);
 	/** Cuts the connection. */
-	void Cut();
+	void Disconnect();
 
 	/** @return Whether the caller still waits. */
-	[[nodiscard]] bool Waits() const { return this->sink != nullptr; }
+	[[nodiscard]] bool IsPending() const { return this->sink != nullptr; }
 
 private:
 	CallerSink *sink; ///< The caller's end; null once answered or gone.
 };
 
-using Answering = std::shared_ptr<LateAnswer>;
+using DeferredAnswerPtr = std::shared_ptr<DeferredAnswer>;
 
 /** Serves each request by a function, on a port of its own. */
 class SoakListener : public RequestHandler {
 public:
-	using Serving = std::function<void(const Answering &, const CallerRequest &)>;
+	using ServeFunction = std::function<void(const DeferredAnswerPtr &, const CallerRequest &)>;
 
 	/** @param scheduler Clock. @param serve Serves a request, now or later. */
-	SoakListener(QtScheduler &scheduler, Serving serve);
+	SoakListener(QtScheduler &scheduler, ServeFunction serve);
 
 	/** Listens on a port that is free. @return Whether it does. */
 	bool Listen();
@@ -46,7 +46,7 @@
 	std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest request) override;
 
 private:
-	Serving serve;            ///< Serves a request.
+	ServeFunction serve;      ///< Serves a request.
 	CallerLimits limits;      ///< Of connections.
 	std::atomic<int> open{0}; ///< Connections.
 	CallerListener listener;  ///< Accepts.
--- a/tests/soak/soak_node.cpp
+++ b/tests/soak/soak_node.cpp
@@ -6,23 +6,23 @@
 
 namespace {
 
-constexpr quint16 PORTS_EACH = 4;    ///< Callers, balancer, other nodes, metrics.
-constexpr Millis RESTART_AFTER(200); ///< A process that ended starts again after this.
+constexpr quint16 PORTS_PER_NODE = 4; ///< Callers, balancer, other nodes, metrics.
+constexpr Millis RESTART_DELAY(200);  ///< A process that ended starts again after this.
 
 } // namespace
 
-SoakNode::SoakNode(QtScheduler &scheduler, const SoakSite &site, int number, const std::string &cpu)
-		: way(scheduler, site.store), scheduler(scheduler), site(site), name("node-" + std::to_string(number)),
-		  pause(RESTART_AFTER)
+SoakNode::SoakNode(QtScheduler &scheduler, const SoakEnvironment &site, int number, const std::string &cpu)
+		: proxy(scheduler, site.store), scheduler(scheduler), site(site), name("node-" + std::to_string(number)),
+		  pause(RESTART_DELAY)
 {
-	const auto first = static_cast<quint16>(site.first_port + number * PORTS_EACH);
+	const auto first = static_cast<quint16>(site.first_port + number * PORTS_PER_NODE);
 	const auto at = [first](quint16 n) { return "127.0.0.1:" + std::to_string(first + n); };
 	this->address = at(0);
 	this->file = site.folder + "/" + this->name + ".yaml";
-	this->way.Start();
+	this->proxy.Start();
 	std::ofstream(this->file) << "name: " << this->name << "\nzone: z" << number % 2 << "\ncallers: " << at(0)
 							  << "\nready: " << at(1) << "\nframes: " << at(2) << "\nmetrics: " << at(3)
-							  << "\nstore: 127.0.0.1:" << this->way.serverPort()
+							  << "\nstore: 127.0.0.1:" << this->proxy.serverPort()
 							  << "\nmachines: 127.0.0.1:" << site.machines << "\ncpu: " << cpu
 							  << "\npartitions: " << site.partitions << "\nlease_max: 10s\n";
 	this->process.setProcessChannelMode(QProcess::MergedChannels);
@@ -30,7 +30,7 @@
 										QIODevice::Append);
 	QObject::connect(&this->process, &QProcess::errorOccurred, &this->process, [this](QProcess::ProcessError error) {
 		if (error == QProcess::FailedToStart) {
-			this->ended_by_itself = this->name + " could not be started: " + this->site.program;
+			this->unexpected_exit = this->name + " could not be started: " + this->site.program;
 		}
 	});
 	QObject::connect(&this->process, &QProcess::finished, &this->process,
@@ -48,7 +48,7 @@
 
 void SoakNode::Start()
 {
-	this->stopping = this->killed = this->frozen = this->harmed = false;
+	this->stopping = this->killed = this->frozen = this->faulted = false;
 	this->process.start(QString::fromStdString(this->site.program), {"--settings", QString::fromStdString(this->file)});
 }
 
@@ -56,13 +56,13 @@
 {
 	const bool asked = this->killed || (this->stopping && code == 0 && status == QProcess::NormalExit);
 	if (!asked) {
-		this->ended_by_itself = this->name + " ended with code " + std::to_string(code) +
+		this->unexpected_exit = this->name + " ended with code " + std::to_string(code) +
 								(status == QProcess::CrashExit ? " (crash)" : "");
 	}
 	if (!this->finishing) {
 		this->scheduler.After(this->pause, [this] { this->Start(); });
 	}
-	this->pause = RESTART_AFTER;
+	this->pause = RESTART_DELAY;
 }
 
 void SoakNode::Signal(int number)
@@ -75,7 +75,7 @@
 void SoakNode::Kill(Millis pause)
 {
 	this->pause = pause;
-	this->killed = this->harmed = true;
+	this->killed = this->faulted = true;
 	this->Signal(SIGKILL);
 }
 
@@ -90,7 +90,7 @@
 	if (this->frozen) {
 		return;
 	}
-	this->frozen = this->harmed = true;
+	this->frozen = this->faulted = true;
 	this->Signal(SIGSTOP);
 	this->scheduler.After(span, [this] {
 		this->frozen = false;
@@ -109,7 +109,7 @@
 	this->Stop();
 }
 
-bool SoakNode::Sound() const
+bool SoakNode::IsHealthy() const
 {
 	return this->process.state() == QProcess::Running && !this->stopping && !this->killed && !this->frozen;
 }
--- a/tests/soak/soak_node.h
+++ b/tests/soak/soak_node.h
@@ -7,7 +7,7 @@
 #include <QProcess>
 
 /** Where the processes of a soak are and what they speak to. */
-struct SoakSite {
+struct SoakEnvironment {
 	std::string program;     ///< glade_node.
 	std::string folder;      ///< Settings and logs.
 	quint16 first_port = 0;  ///< Each node takes some from here on.
@@ -20,7 +20,7 @@
 class SoakNode {
 public:
 	/** @param scheduler Clock. @param site What it speaks to. @param number Which node. @param cpu Cores, as a text. */
-	SoakNode(QtScheduler &scheduler, const SoakSite &site, int number, const std::string &cpu);
+	SoakNode(QtScheduler &scheduler, const SoakEnvironment &site, int number, const std::string &cpu);
 	~SoakNode();
 	SoakNode(const SoakNode &) = delete;
 	SoakNode &operator=(const SoakNode &) = delete;
@@ -41,20 +41,20 @@
 	/** @return Where callers connect, IP:port. */
 	[[nodiscard]] std::string Address() const { return this->address; }
 	/** @return Whether it is in a planned stop, and nothing else was done to it since it started. */
-	[[nodiscard]] bool OnlyStopping() const { return this->stopping && !this->harmed; }
+	[[nodiscard]] bool InUndisturbedStop() const { return this->stopping && !this->faulted; }
 	/** @return Whether it runs and nothing is being done to it. */
-	[[nodiscard]] bool Sound() const;
+	[[nodiscard]] bool IsHealthy() const;
 	/** @return Whether it has ended for good. */
-	[[nodiscard]] bool Over() const { return this->process.state() == QProcess::NotRunning; }
+	[[nodiscard]] bool HasExited() const { return this->process.state() == QProcess::NotRunning; }
 	/** Something was done to its way to the store, or to the store. */
-	void NoteHarm() { this->harmed = true; }
+	void MarkFaulted() { this->faulted = true; }
 
-	SoakProxy way;               ///< Its way to the store.
-	std::string ended_by_itself; ///< How it ended when nobody asked for it; empty if it didn't.
+	SoakProxy proxy;             ///< Its way to the store.
+	std::string unexpected_exit; ///< How it ended when nobody asked for it; empty if it didn't.
 
 private:
 	QtScheduler &scheduler; ///< Clock.
-	SoakSite site;          ///< What it speaks to.
+	SoakEnvironment site;   ///< What it speaks to.
 	std::string name;       ///< Its name.
 	std::string address;    ///< Where callers connect.
 	std::string file;       ///< Its settings.
@@ -63,7 +63,7 @@
 	bool stopping = false;  ///< Whether a planned stop is under way.
 	bool killed = false;    ///< Whether it was killed.
 	bool frozen = false;    ///< Whether it stands still.
-	bool harmed = false;    ///< Whether anything but a planned stop was done to it since it started.
+	bool faulted = false;   ///< Whether anything but a planned stop was done to it since it started.
 	bool finishing = false; ///< Whether it ends for good.
 
 	void OnEnded(int code, QProcess::ExitStatus status);
--- a/tests/soak/soak_proxy.cpp
+++ b/tests/soak/soak_proxy.cpp
@@ -5,14 +5,14 @@
 
 namespace {
 
-constexpr Millis DELAY(150); ///< Of bytes under PF_DELAY.
+constexpr Millis PROXY_DELAY(150); ///< Of bytes under PF_DELAY.
 
 } // namespace
 
 struct SoakProxy::Pair {
-	QTcpSocket caller; ///< Who connected.
-	QTcpSocket server; ///< Where it goes.
-	bool mute = false; ///< Whether it says nothing any more, whatever is healed.
+	QTcpSocket caller;     ///< Who connected.
+	QTcpSocket server;     ///< Where it goes.
+	bool silenced = false; ///< Whether it says nothing any more, whatever is healed.
 };
 
 void SoakProxy::Set(ProxyFault now)
@@ -23,17 +23,17 @@
 	if (now == ProxyFault::PF_RESET || heals) {
 		const auto all = this->pairs;
 		for (const auto &it : all) {
-			if (!it->mute) {
+			if (!it->silenced) {
 				this->Drop(it, true);
 			}
 		}
 	}
 }
 
-void SoakProxy::SilenceOpen()
+void SoakProxy::SilenceOpenConnections()
 {
 	for (const auto &it : this->pairs) {
-		it->mute = true;
+		it->silenced = true;
 	}
 }
 
@@ -47,7 +47,7 @@
 	}
 	this->pairs.insert(pair);
 	const std::weak_ptr<Pair> weak = pair;
-	const auto wire = [this, weak](QTcpSocket &socket, bool answering) {
+	const auto connect_socket = [this, weak](QTcpSocket &socket, bool answering) {
 		QObject::connect(&socket, &QTcpSocket::readyRead, &socket, [this, weak, answering] {
 			if (const auto it = weak.lock()) {
 				this->Forward(it, answering);
@@ -61,17 +61,17 @@
 			});
 		});
 	};
-	wire(pair->caller, false);
-	wire(pair->server, true);
-	pair->server.connectToHost(QHostAddress(QHostAddress::LocalHost), this->to);
+	connect_socket(pair->caller, false);
+	connect_socket(pair->server, true);
+	pair->server.connectToHost(QHostAddress(QHostAddress::LocalHost), this->target_port);
 }
 
 void SoakProxy::Forward(const std::shared_ptr<Pair> &pair, bool answering)
 {
 	const QByteArray data = (answering ? pair->server : pair->caller).readAll();
-	const bool held =
-			pair->mute || this->fault == ProxyFault::PF_SILENT || (this->fault == ProxyFault::PF_ONE_WAY && answering);
-	if (held) {
+	const bool dropped = pair->silenced || this->fault == ProxyFault::PF_SILENT ||
+						 (this->fault == ProxyFault::PF_ONE_WAY && answering);
+	if (dropped) {
 		return;
 	}
 	const auto pass = [weak = std::weak_ptr<Pair>(pair), data, answering] {
@@ -80,7 +80,7 @@
 		}
 	};
 	if (this->fault == ProxyFault::PF_DELAY) {
-		this->scheduler.After(DELAY, pass);
+		this->scheduler.After(PROXY_DELAY, pass);
 	} else {
 		pass();
 	}
--- a/tests/soak/soak_proxy.h
+++ b/tests/soak/soak_proxy.h
@@ -23,14 +23,14 @@
 class SoakProxy : public QTcpServer {
 public:
 	/** @param scheduler Clock. @param to Port that it forwards to. */
-	SoakProxy(QtScheduler &scheduler, quint16 to) : scheduler(scheduler), to(to) {}
+	SoakProxy(QtScheduler &scheduler, quint16 target_port) : scheduler(scheduler), target_port(target_port) {}
 
 	/** @return Whether it listens. */
 	bool Start() { return this->listen(QHostAddress::LocalHost, 0); }
 	/** Sets a fault. @param now What goes wrong from now on. */
 	void Set(ProxyFault now);
 	/** The connections that stand fall silent for good, without a reset; new ones work. */
-	void SilenceOpen();
+	void SilenceOpenConnections();
 
 protected:
 	void incomingConnection(qintptr descriptor) override;
@@ -40,7 +40,7 @@
 	struct Pair;
 
 	QtScheduler &scheduler;                 ///< Clock.
-	quint16 to;                             ///< Port that it forwards to.
+	quint16 target_port;                    ///< Port that it forwards to.
 	ProxyFault fault = ProxyFault::PF_NONE; ///< In force.
 	std::set<std::shared_ptr<Pair>> pairs;  ///< Connections.
 
--- a/tests/soak/soak_store.cpp
+++ b/tests/soak/soak_store.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr Millis POLL_EVERY(10);   ///< A waiting read looks so often.
-constexpr Millis LATE_BY(2500);    ///< An append that is done late comes after this.
-constexpr size_t OFFSET_BYTES = 8; ///< Two offsets come before the records of an answer.
-constexpr int HUNDRED = 100;       ///< Percent.
+constexpr Millis POLL_INTERVAL(10); ///< A waiting read looks so often.
+constexpr Millis LATE_DELAY(2500);  ///< An append that is done late comes after this.
+constexpr size_t OFFSET_BYTES = 8;  ///< Two offsets come before the records of an answer.
+constexpr int PERCENT = 100;        ///< Percent.
 
 PartitionId PartitionOf(const QUrlQuery &query)
 {
@@ -31,8 +31,9 @@
 
 SoakStore::SoakStore(QtScheduler &scheduler, uint32_t parts, uint32_t seed)
 		: store(parts), scheduler(scheduler), random(seed),
-		  listener(scheduler,
-				   [this](const Answering &answer, const CallerRequest &request) { this->Serve(answer, request); })
+		  listener(scheduler, [this](const DeferredAnswerPtr &answer, const CallerRequest &request) {
+			  this->Serve(answer, request);
+		  })
 {
 }
 
@@ -40,27 +41,27 @@
 {
 	std::minstd_rand next(this->random);
 	this->random = static_cast<uint32_t>(next());
-	return static_cast<int>(this->random % HUNDRED) < percent;
+	return static_cast<int>(this->random % PERCENT) < percent;
 }
 
-void SoakStore::Reply(const Answering &answer, int status, const std::string &body)
+void SoakStore::Reply(const DeferredAnswerPtr &answer, int status, const std::string &body)
 {
-	if (this->faults.slow > Millis(0)) {
-		this->scheduler.After(this->faults.slow, [answer, status, body] { answer->Answer(status, body); });
+	if (this->faults.added_latency > Millis(0)) {
+		this->scheduler.After(this->faults.added_latency, [answer, status, body] { answer->Answer(status, body); });
 	} else {
 		answer->Answer(status, body);
 	}
 }
 
-void SoakStore::Serve(const Answering &answer, const CallerRequest &request)
+void SoakStore::Serve(const DeferredAnswerPtr &answer, const CallerRequest &request)
 {
-	if (this->faults.refusing) {
+	if (this->faults.unavailable) {
 		answer->Answer(503, std::string());
 		return;
 	}
 	const std::string path = PathOf(request.target);
 	const QUrlQuery query = QueryOf(request.target);
-	if (this->faults.mute.contains(PartitionOf(query))) {
+	if (this->faults.silent_partitions.contains(PartitionOf(query))) {
 		return; /* Calls about groups name no partition. */
 	}
 	if (path == "/v1/log-append") {
@@ -84,7 +85,7 @@
 	}
 }
 
-void SoakStore::Append(const Answering &answer, const CallerRequest &request)
+void SoakStore::Append(const DeferredAnswerPtr &answer, const CallerRequest &request)
 {
 	const QUrlQuery query = QueryOf(request.target);
 	const PartitionId partition = PartitionOf(query);
@@ -101,10 +102,10 @@
 	condition.epoch = query.queryItemValue("epoch").toULongLong();
 	condition.sequence = query.queryItemValue("call-seq").toULongLong();
 	if (this->Chance(this->faults.lose_percent)) {
-		const Millis delay = this->faults.late ? LATE_BY : Millis(0);
+		const Millis delay = this->faults.late ? LATE_DELAY : Millis(0);
 		this->scheduler.After(
 				delay, [this, partition, records, condition] { this->store.Append(partition, records, condition); });
-		answer->Cut();
+		answer->Disconnect();
 		return;
 	}
 	const KeyedAppendAnswer done = this->store.Append(partition, records, condition);
@@ -121,9 +122,9 @@
 	}
 }
 
-void SoakStore::Read(const Answering &answer, const PartitionId &partition, uint64_t from, Millis until)
+void SoakStore::Read(const DeferredAnswerPtr &answer, const PartitionId &partition, uint64_t from, Millis until)
 {
-	if (!answer->Waits()) {
+	if (!answer->IsPending()) {
 		return;
 	}
 	const KeyedReadAnswer read = this->store.Read(partition, from);
@@ -132,14 +133,14 @@
 		return;
 	}
 	if (read.records.empty() && this->scheduler.Now() < until) {
-		this->scheduler.After(POLL_EVERY,
+		this->scheduler.After(POLL_INTERVAL,
 							  [this, answer, partition, from, until] { this->Read(answer, partition, from, until); });
 		return;
 	}
 	this->Reply(answer, 200, OffsetBytes(read.next) + OffsetBytes(0) + EncodeRecords(read.records));
 }
 
-void SoakStore::Newest(const Answering &answer, const QUrlQuery &query)
+void SoakStore::Newest(const DeferredAnswerPtr &answer, const QUrlQuery &query)
 {
 	const NewestPage page = this->store.Newest(PartitionOf(query), query.queryItemValue("after").toStdString());
 	QJsonArray items;
@@ -152,7 +153,7 @@
 	this->Reply(answer, 200, BodyOf(json));
 }
 
-void SoakStore::Join(const Answering &answer, const QJsonObject &json)
+void SoakStore::Join(const DeferredAnswerPtr &answer, const QJsonObject &json)
 {
 	const GroupMembership joined = this->store.Join(
 			json["group"].toString().toStdString(), json["member"].toString().toStdString(),
@@ -166,7 +167,7 @@
 				BodyOf(QJsonObject{{"generation", static_cast<qint64>(joined.generation)}, {"parts", rows}}));
 }
 
-void SoakStore::Owners(const Answering &answer, const std::string &group)
+void SoakStore::Owners(const DeferredAnswerPtr &answer, const std::string &group)
 {
 	QJsonArray rows;
 	for (const PartitionHolder &it : this->store.Holders(group, this->scheduler.Now())) {
--- a/tests/soak/soak_store.h
+++ b/tests/soak/soak_store.h
@@ -9,11 +9,11 @@
 
 /** What goes wrong with calls to the store. */
 struct SoakStoreFaults {
-	bool refusing = false;      ///< Every call gets 503; nothing is done.
-	int lose_percent = 0;       ///< So many of 100 appends are done, and their connection is cut without an answer.
-	bool late = false;          ///< Those are done 2.5 s later instead of at once.
-	std::set<PartitionId> mute; ///< Calls to these partitions get no answer; nothing is done.
-	Millis slow;                ///< Answers take so much longer.
+	bool unavailable = false; ///< Every call gets 503; nothing is done.
+	int lose_percent = 0;     ///< So many of 100 appends are done, and their connection is cut without an answer.
+	bool late = false;        ///< Those are done 2.5 s later instead of at once.
+	std::set<PartitionId> silent_partitions; ///< Calls to these partitions get no answer; nothing is done.
+	Millis added_latency;                    ///< Answers take so much longer.
 };
 
 /** The store's server. */
@@ -35,13 +35,13 @@
 	uint32_t random;        ///< State of the choice which appends are lost.
 	SoakListener listener;  ///< Its port.
 
-	void Serve(const Answering &answer, const CallerRequest &request);
-	void Append(const Answering &answer, const CallerRequest &request);
-	void Read(const Answering &answer, const PartitionId &partition, uint64_t from, Millis until);
-	void Newest(const Answering &answer, const QUrlQuery &query);
-	void Join(const Answering &answer, const QJsonObject &json);
-	void Owners(const Answering &answer, const std::string &group);
-	void Reply(const Answering &answer, int status, const std::string &body);
+	void Serve(const DeferredAnswerPtr &answer, const CallerRequest &request);
+	void Append(const DeferredAnswerPtr &answer, const CallerRequest &request);
+	void Read(const DeferredAnswerPtr &answer, const PartitionId &partition, uint64_t from, Millis until);
+	void Newest(const DeferredAnswerPtr &answer, const QUrlQuery &query);
+	void Join(const DeferredAnswerPtr &answer, const QJsonObject &json);
+	void Owners(const DeferredAnswerPtr &answer, const std::string &group);
+	void Reply(const DeferredAnswerPtr &answer, int status, const std::string &body);
 	bool Chance(int percent);
 };
 
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -8,50 +8,51 @@
 
 namespace {
 
-constexpr uint32_t PARTITIONS = 12;      ///< Of a topic.
-constexpr Millis REPORT_EVERY(500);      ///< Boxes report so often.
-constexpr Millis ROOM_EVERY(700);        ///< A box's room changes so often.
-constexpr Millis CRASHES_EVERY(1900);    ///< Boxes crash so often,
-constexpr uint32_t CRASHES_MOST = 3;     ///< so many at a time at most;
-constexpr int64_t BACK_LEAST = 50;       ///< ms until one is back at least,
-constexpr uint32_t BACK_SOON = 300;      ///< and at most so much more for half of them,
-constexpr uint32_t BACK_MOST = 4400;     ///< or for the others.
-constexpr uint32_t OTHER_ID_OF = 4;      ///< One of so many comes back under another id.
-constexpr Millis BACK_AFTER(1200);       ///< A box that a task has crashed is back after this.
-constexpr Millis WARM_UP(3000);          ///< Nodes start and claim.
-constexpr Millis FAULT_MIN(300);         ///< Shortest fault.
-constexpr Millis FAULT_MAX(4500);        ///< Longest fault.
-constexpr Millis LOOK_EVERY(500);        ///< Between two rounds of questions at the end.
-constexpr Millis SETTLE_MAX(45000);      ///< All jobs are where they belong by then: two leases and two owners' terms.
-constexpr size_t KEYS_AT_ONCE = 2;       ///< Keys that callers may use at a time.
-constexpr int64_t MAXIMUM_HIGH = 200000; ///< Thousandths of a core that the account may have: more than all boxes,
-constexpr int64_t MAXIMUM_LOW = 100000;  ///< and less of it, but enough.
-constexpr Millis CONFIG_WITHIN(3000);    ///< A configuration is in force by then.
-constexpr Millis STOP_WITHIN(7000);      ///< A planned stop has ended by then.
-constexpr const char *STRONG = "0.5";    ///< Cores of the first three nodes.
-constexpr const char *WEAK = "0.2";      ///< Cores of the others.
-constexpr int STRONG_NODES = 3;          ///< See STRONG.
+constexpr uint32_t PARTITIONS = 12;               ///< Of a topic.
+constexpr Millis REPORT_INTERVAL(500);            ///< Boxes report so often.
+constexpr Millis CAPACITY_CHANGE_INTERVAL(700);   ///< A box's room changes so often.
+constexpr Millis CRASH_INTERVAL(1900);            ///< Boxes crash so often,
+constexpr uint32_t MAX_CRASHES_AT_ONCE = 3;       ///< so many at a time at most;
+constexpr int64_t RESTART_MIN_MS = 50;            ///< ms until one is back at least,
+constexpr uint32_t RESTART_SHORT_SPREAD_MS = 300; ///< and at most so much more for half of them,
+constexpr uint32_t RESTART_LONG_SPREAD_MS = 4400; ///< or for the others.
+constexpr uint32_t NEW_ID_ONE_IN = 4;             ///< One of so many comes back under another id.
+constexpr Millis CRASH_RESTART_DELAY(1200);       ///< A box that a task has crashed is back after this.
+constexpr Millis WARM_UP(3000);                   ///< Nodes start and claim.
+constexpr Millis FAULT_MIN(300);                  ///< Shortest fault.
+constexpr Millis FAULT_MAX(4500);                 ///< Longest fault.
+constexpr Millis STATE_POLL_INTERVAL(500);        ///< Between two rounds of questions at the end.
+constexpr Millis SETTLE_TIMEOUT(45000); ///< All jobs are where they belong by then: two leases and two owners' terms.
+constexpr size_t MAX_VALID_KEYS = 2;    ///< Keys that callers may use at a time.
+constexpr int64_t ACCOUNT_MAXIMUM_HIGH =
+		200000; ///< Thousandths of a core that the account may have: more than all boxes,
+constexpr int64_t ACCOUNT_MAXIMUM_LOW = 100000; ///< and less of it, but enough.
+constexpr Millis CONFIG_TIMEOUT(3000);          ///< A configuration is in force by then.
+constexpr Millis STOP_TIMEOUT(7000);            ///< A planned stop has ended by then.
+constexpr const char *LARGE_NODE_CPU = "0.5";   ///< Cores of the first three nodes.
+constexpr const char *SMALL_NODE_CPU = "0.2";   ///< Cores of the others.
+constexpr int LARGE_NODES = 3;                  ///< See STRONG.
 
-const Resources WHOLE_ROOM{8000, 8000, 0};  ///< Room of a box.
-const Resources LITTLE_ROOM{2000, 8000, 0}; ///< The same after it has shrunk.
+const Resources FULL_CAPACITY{8000, 8000, 0};    ///< Room of a box.
+const Resources REDUCED_CAPACITY{2000, 8000, 0}; ///< The same after it has shrunk.
 
 } // namespace
 
-SoakWorld::SoakWorld(const SoakPlan &plan)
-		: plan(plan), random(plan.seed), rooms(plan.seed), crashes(plan.seed),
-		  store(this->scheduler, PARTITIONS, plan.seed), boxes(this->scheduler, plan.seed),
+SoakWorld::SoakWorld(const SoakOptions &options)
+		: options(options), random(options.seed), capacity_random(options.seed), crash_random(options.seed),
+		  store(this->scheduler, PARTITIONS, options.seed), boxes(this->scheduler, options.seed),
 		  caller(this->scheduler, DialLimits{Millis(500), Millis(60000), 8})
 {
 }
 
-uint32_t SoakWorld::Pick(uint32_t below)
+uint32_t SoakWorld::RandomBelow(uint32_t below)
 {
 	return static_cast<uint32_t>(this->random() % below);
 }
 
-Millis SoakWorld::Between(int64_t low, int64_t high)
+Millis SoakWorld::RandomMillis(int64_t low, int64_t high)
 {
-	return Millis(low + static_cast<int64_t>(this->Pick(static_cast<uint32_t>(high - low + 1))));
+	return Millis(low + static_cast<int64_t>(this->RandomBelow(static_cast<uint32_t>(high - low + 1))));
 }
 
 bool SoakWorld::Start(std::function<void()> done)
@@ -61,27 +62,28 @@
 		return false;
 	}
 	this->boxes.site.checks_capacity = false;
-	this->boxes.site.restart_delay = BACK_AFTER;
+	this->boxes.site.restart_delay = CRASH_RESTART_DELAY;
 	this->boxes.on_restart = [this] { this->PublishReports(); };
 	this->AddBoxes();
 	this->PublishConfig(true);
 	this->PublishReports();
-	this->ListFaults();
-	const SoakSite site{this->plan.program, this->plan.folder,         this->plan.first_port,
-						this->store.Port(), this->boxes.ControlPort(), PARTITIONS};
-	for (int n = 0; n < this->plan.nodes; n++) {
-		this->nodes.push_back(std::make_unique<SoakNode>(this->scheduler, site, n, n < STRONG_NODES ? STRONG : WEAK));
+	this->DefineFaults();
+	const SoakEnvironment site{this->options.program, this->options.folder,      this->options.first_port,
+							   this->store.Port(),    this->boxes.ControlPort(), PARTITIONS};
+	for (int n = 0; n < this->options.nodes; n++) {
+		this->nodes.push_back(std::make_unique<SoakNode>(this->scheduler, site, n,
+														 n < LARGE_NODES ? LARGE_NODE_CPU : SMALL_NODE_CPU));
 		this->nodes.back()->Start();
 	}
 	this->scheduler.After(WARM_UP, [this] {
-		this->begun = this->scheduler.Now();
-		this->NextJob();
-		if (!this->plan.calm) {
-			this->NextFault();
-			this->NextRoom();
-			this->NextCrashes();
+		this->traffic_started_at = this->scheduler.Now();
+		this->SubmitNextJob();
+		if (!this->options.calm) {
+			this->InjectNextFault();
+			this->ChangeCapacity();
+			this->CrashBoxes();
 		}
-		this->scheduler.After(this->plan.faults_for, [this] { this->Heal(); });
+		this->scheduler.After(this->options.faults_for, [this] { this->EndFaults(); });
 	});
 	return true;
 }
@@ -89,16 +91,16 @@
 void SoakWorld::AddBoxes()
 {
 	for (const char *service : {"calc", "grid"}) {
-		for (int n = 0; n < this->plan.boxes; n++) {
-			this->box_ways.push_back(std::make_unique<SoakProxy>(this->scheduler, this->boxes.AgentPort()));
-			this->box_ways.back()->Start();
+		for (int n = 0; n < this->options.boxes; n++) {
+			this->box_proxies.push_back(std::make_unique<SoakProxy>(this->scheduler, this->boxes.AgentPort()));
+			this->box_proxies.back()->Start();
 			BoxReport report;
 			report.box = BoxName(std::string(service) + "-box" + std::to_string(n));
 			report.incarnation.id = BoxId(report.box.Value() + "-life0");
 			report.service = ServiceName(service);
-			report.address = "127.0.0.1:" + std::to_string(this->box_ways.back()->serverPort());
+			report.address = "127.0.0.1:" + std::to_string(this->box_proxies.back()->serverPort());
 			report.zone = ZoneName("z" + std::to_string(n % 2));
-			report.capacity = WHOLE_ROOM;
+			report.capacity = FULL_CAPACITY;
 			report.labels = {"a", "rack" + std::to_string(n / 2)};
 			this->boxes.site.Add(report);
 		}
@@ -133,7 +135,7 @@
 		}
 	}
 	this->store.store.Append(topic, records, AppendCondition{});
-	this->scheduler.After(REPORT_EVERY, [this] { this->PublishReports(); });
+	this->scheduler.After(REPORT_INTERVAL, [this] { this->PublishReports(); });
 }
 
 void SoakWorld::PublishConfig(bool with_extra)
@@ -157,16 +159,16 @@
 	for (const char *name : {"calc", "grid"}) {
 		services.append(QJsonObject{{"name", name}, {"admission-check", true}});
 	}
-	this->version += 1 + this->Pick(3);
+	this->version += 1 + this->RandomBelow(3);
 	/* Each configuration brings a key and takes the oldest one away; what the account may have falls and rises. */
 	this->keys.push_back("key-" + std::to_string(this->version));
-	if (this->keys.size() > KEYS_AT_ONCE) {
-		this->lost_key = this->keys.front();
+	if (this->keys.size() > MAX_VALID_KEYS) {
+		this->revoked_key = this->keys.front();
 		this->keys.pop_front();
 	}
 	QJsonArray keys;
 	std::ranges::for_each(this->keys, [&keys](const std::string &it) { keys.append(QString::fromStdString(it)); });
-	const int64_t cores = this->keys.back().back() % 2 == 0 ? MAXIMUM_LOW : MAXIMUM_HIGH;
+	const int64_t cores = this->keys.back().back() % 2 == 0 ? ACCOUNT_MAXIMUM_LOW : ACCOUNT_MAXIMUM_HIGH;
 	const QJsonArray accounts{QJsonObject{{"name", "soak"},
 										  {"api-keys", keys},
 										  {"weight", 10},
@@ -178,69 +180,71 @@
 	this->store.store.Append(PartitionId{"keyed.op", 0}, {KeyedRecord{"config", BodyOf(json)}}, AppendCondition{});
 }
 
-void SoakWorld::NextFault()
+void SoakWorld::InjectNextFault()
 {
-	if (this->calm) {
+	if (this->load_ended) {
 		return;
 	}
-	const Fault &kind = this->kinds[this->Pick(static_cast<uint32_t>(this->kinds.size()))];
+	const Fault &kind = this->fault_kinds[this->RandomBelow(static_cast<uint32_t>(this->fault_kinds.size()))];
 	this->faults++;
-	std::cout << "fault at_ms=" << (this->scheduler.Now() - this->begun).Value() << " kind=" << kind.name << '\n';
-	const Millis span = this->Between(FAULT_MIN.Value(), FAULT_MAX.Value());
+	std::cout << "fault at_ms=" << (this->scheduler.Now() - this->traffic_started_at).Value() << " kind=" << kind.name
+			  << '\n';
+	const Millis span = this->RandomMillis(FAULT_MIN.Value(), FAULT_MAX.Value());
 	if (const std::function<void()> end = kind.begin(); end) {
 		this->scheduler.After(span, end);
 	}
-	this->scheduler.After(this->Between(100, 2500), [this] { this->NextFault(); });
+	this->scheduler.After(this->RandomMillis(100, 2500), [this] { this->InjectNextFault(); });
 }
 
-void SoakWorld::Heal()
+void SoakWorld::EndFaults()
 {
-	this->calm = true;
+	this->load_ended = true;
 	/* Faults under way end by themselves. */
 	this->scheduler.After(FAULT_MAX, [this] {
 		this->healed_at = this->scheduler.Now();
-		this->Settle();
+		this->WaitUntilSettled();
 	});
 }
 
-bool SoakWorld::Right(const SoakJob &job) const
+bool SoakWorld::HasExpectedState(const SoakJob &job) const
 {
 	/* A cancellation may come after the end; two boxes that crash under a task are cause enough to give it up. */
 	return job.state == job.expected || (job.cancelled && job.state == "cancelled") ||
 		   (job.state == "failed" && this->boxes.site.MayFail(job.spec.id));
 }
 
-void SoakWorld::NextRoom()
+void SoakWorld::ChangeCapacity()
 {
-	if (this->calm) {
+	if (this->load_ended) {
 		std::ranges::for_each(this->boxes.site.Reports(),
-							  [this](const BoxReport &it) { this->boxes.site.Resize(it.box, WHOLE_ROOM); });
+							  [this](const BoxReport &it) { this->boxes.site.Resize(it.box, FULL_CAPACITY); });
 		return;
 	}
 	const std::vector<BoxReport> all = this->boxes.site.Reports();
-	const BoxReport &box = all[this->rooms() % all.size()];
-	this->boxes.site.Resize(box.box, box.capacity == WHOLE_ROOM ? LITTLE_ROOM : WHOLE_ROOM);
-	this->scheduler.After(ROOM_EVERY, [this] { this->NextRoom(); });
+	const BoxReport &box = all[this->capacity_random() % all.size()];
+	this->boxes.site.Resize(box.box, box.capacity == FULL_CAPACITY ? REDUCED_CAPACITY : FULL_CAPACITY);
+	this->scheduler.After(CAPACITY_CHANGE_INTERVAL, [this] { this->ChangeCapacity(); });
 }
 
-void SoakWorld::NextCrashes()
+void SoakWorld::CrashBoxes()
 {
-	if (this->calm) {
+	if (this->load_ended) {
 		return;
 	}
 	/* Mostly back under the id that they had, before anybody has missed them or long after. */
 	BoxSite &site = this->boxes.site;
 	const std::vector<BoxReport> all = site.Reports();
-	const Millis usual = site.restart_delay;
-	for (uint32_t n = 0; n < 1 + this->crashes() % CRASHES_MOST; n++) {
-		const bool soon = this->crashes() % 2 == 0;
+	const Millis default_delay = site.restart_delay;
+	for (uint32_t n = 0; n < 1 + this->crash_random() % MAX_CRASHES_AT_ONCE; n++) {
+		const bool soon = this->crash_random() % 2 == 0;
 		site.restart_delay =
-				Millis(BACK_LEAST + static_cast<int64_t>(this->crashes() % (soon ? BACK_SOON : BACK_MOST)));
-		site.keeps_id = this->crashes() % OTHER_ID_OF != 0;
-		site.Crash(all[this->crashes() % all.size()].box);
+				Millis(RESTART_MIN_MS + static_cast<int64_t>(this->crash_random() % (soon ? RESTART_SHORT_SPREAD_MS
+																						  : RESTART_LONG_SPREAD_MS)));
+		site.keep_box_id = this->crash_random() % NEW_ID_ONE_IN != 0;
+		site.Crash(all[this->crash_random() % all.size()].box);
 	}
-	site.restart_delay = usual;
-	this->scheduler.After(CRASHES_EVERY, [this] { this->NextCrashes(); });
+	site.restart_delay = default_delay;
+	this->scheduler.After(CRASH_INTERVAL, [this] { this->CrashBoxes(); });
 }
 
 bool SoakWorld::AllSettled()
@@ -249,26 +253,26 @@
 		if (!job->accepted_at) {
 			return true;
 		}
-		const bool right = this->Right(*job);
+		const bool right = this->HasExpectedState(*job);
 		const bool lasts = right && job->state == "running";
 		const size_t runs = this->boxes.site.Running(job->spec.id);
 		return right && runs == (lasts ? job->spec.steps.front().count : 0);
 	});
 }
 
-void SoakWorld::Settle()
+void SoakWorld::WaitUntilSettled()
 {
-	if (this->AllSettled() || this->scheduler.Now() - this->healed_at > SETTLE_MAX) {
+	if (this->AllSettled() || this->scheduler.Now() - this->healed_at > SETTLE_TIMEOUT) {
 		this->Check();
 		this->CheckRemovedRoute();
 		return;
 	}
 	for (const auto &job : this->jobs) {
 		if (job->accepted_at) {
-			this->Ask(*job);
+			this->PollState(*job);
 		}
 	}
-	this->scheduler.After(LOOK_EVERY, [this] { this->Settle(); });
+	this->scheduler.After(STATE_POLL_INTERVAL, [this] { this->WaitUntilSettled(); });
 }
 
 void SoakWorld::Check()
@@ -277,22 +281,22 @@
 		const std::string id = job->spec.id.Value();
 		if (!job->accepted_at) {
 			if (!job->uncertain && this->boxes.site.Started(job->spec.id)) {
-				this->broken.push_back("a job that was refused at every try has run: " + id);
+				this->failures.push_back("a job that was refused at every try has run: " + id);
 			}
 			continue;
 		}
 		const size_t runs = this->boxes.site.Running(job->spec.id);
-		if (!this->Right(*job)) {
+		if (!this->HasExpectedState(*job)) {
 			std::string text = "job " + id;
 			text += " is told as '" + job->state;
 			text += "', expected " + (job->cancelled ? "cancelled" : job->expected);
-			this->broken.push_back(std::move(text));
+			this->failures.push_back(std::move(text));
 		} else if (runs != (job->state == "running" ? job->spec.steps.front().count : 0)) {
 			std::string text = "job " + id;
 			text += " (" + job->state;
 			text += ") has " + std::to_string(runs);
 			text += " tasks running";
-			this->broken.push_back(std::move(text));
+			this->failures.push_back(std::move(text));
 		}
 	}
 }
@@ -300,33 +304,33 @@
 void SoakWorld::CheckRemovedRoute()
 {
 	this->PublishConfig(false);
-	this->scheduler.After(CONFIG_WITHIN, [this] {
+	this->scheduler.After(CONFIG_TIMEOUT, [this] {
 		for (const auto &node : this->nodes) {
 			this->Send(*node, "GET", "/extra/", {}, [this, &node](const HttpReply &reply) {
 				if (reply.result != CallResult::CR_ANSWERED || reply.status != 404) {
-					this->broken.push_back("a removed route is still there on " + node->Address() + ": status " +
-										   std::to_string(reply.status));
+					this->failures.push_back("a removed route is still there on " + node->Address() + ": status " +
+											 std::to_string(reply.status));
 				}
 			});
 		}
 		this->CheckKeys();
-		this->scheduler.After(CONFIG_WITHIN, [this] { this->StopAll(); });
+		this->scheduler.After(CONFIG_TIMEOUT, [this] { this->StopAll(); });
 	});
 }
 
-void SoakWorld::TryKey(SoakNode &node, const std::string &key)
+void SoakWorld::CheckKey(SoakNode &node, const std::string &key)
 {
-	HttpCallSpec spec{node.Address(), {}, CONFIG_WITHIN};
+	HttpCallSpec spec{node.Address(), {}, CONFIG_TIMEOUT};
 	spec.request.method = "GET";
 	spec.request.target = "/grid/";
 	spec.request.headers.Add("Host", "soak");
 	spec.request.headers.Add("Authorization", "Token " + key);
 	this->caller.Call(spec, [this, key, at = node.Address()](const HttpReply &reply) {
-		constexpr int NO_KEY = 401;
+		constexpr int STATUS_UNAUTHORIZED = 401;
 		const bool good = std::ranges::find(this->keys, key) != this->keys.end();
-		if (reply.result == CallResult::CR_ANSWERED && (reply.status == NO_KEY) == good) {
-			this->broken.push_back(at + (good ? " refuses a good key" : " takes a bad key") + ": status " +
-								   std::to_string(reply.status));
+		if (reply.result == CallResult::CR_ANSWERED && (reply.status == STATUS_UNAUTHORIZED) == good) {
+			this->failures.push_back(at + (good ? " refuses a good key" : " takes a bad key") + ": status " +
+									 std::to_string(reply.status));
 		}
 	});
 }
@@ -334,10 +338,10 @@
 void SoakWorld::CheckKeys()
 {
 	for (const auto &node : this->nodes) {
-		this->TryKey(*node, this->keys.front());
-		this->TryKey(*node, this->keys.back());
-		this->TryKey(*node, this->lost_key.empty() ? "never-a-key" : this->lost_key);
-		this->TryKey(*node, "never-a-key");
+		this->CheckKey(*node, this->keys.front());
+		this->CheckKey(*node, this->keys.back());
+		this->CheckKey(*node, this->revoked_key.empty() ? "never-a-key" : this->revoked_key);
+		this->CheckKey(*node, "never-a-key");
 	}
 }
 
@@ -348,25 +352,25 @@
 	}
 	/* Callers go on using their connections during the stop. */
 	for (size_t n = 0; n < this->jobs.size() && n < this->nodes.size(); n++) {
-		this->Ask(*this->jobs[n]);
+		this->PollState(*this->jobs[n]);
 	}
-	this->scheduler.After(STOP_WITHIN, [this] {
+	this->scheduler.After(STOP_TIMEOUT, [this] {
 		for (const auto &node : this->nodes) {
-			if (!node->Over()) {
-				this->broken.push_back(node->Address() + " has not stopped in time");
+			if (!node->HasExited()) {
+				this->failures.push_back(node->Address() + " has not stopped in time");
 			}
 		}
 		this->done();
 	});
 }
 
-std::vector<std::string> SoakWorld::Broken() const
+std::vector<std::string> SoakWorld::Failures() const
 {
-	std::vector<std::string> out = this->broken;
+	std::vector<std::string> out = this->failures;
 	std::ranges::copy(this->boxes.site.violations, std::back_inserter(out));
 	for (const auto &node : this->nodes) {
-		if (!node->ended_by_itself.empty()) {
-			out.push_back(node->ended_by_itself);
+		if (!node->unexpected_exit.empty()) {
+			out.push_back(node->unexpected_exit);
 		}
 	}
 	return out;
@@ -375,7 +379,7 @@
 std::string SoakWorld::Summary() const
 {
 	const auto accepted = std::ranges::count_if(this->jobs, [](const auto &it) { return it->accepted_at.has_value(); });
-	return "seed=" + std::to_string(this->plan.seed) + " jobs=" + std::to_string(this->jobs.size()) +
+	return "seed=" + std::to_string(this->options.seed) + " jobs=" + std::to_string(this->jobs.size()) +
 		   " accepted=" + std::to_string(accepted) + " starts=" + std::to_string(this->boxes.site.starts) +
-		   " faults=" + std::to_string(this->faults) + " broken=" + std::to_string(this->Broken().size());
+		   " faults=" + std::to_string(this->faults) + " broken=" + std::to_string(this->Failures().size());
 }
