--- a/src/standin/memory/box_site.cpp
+++ b/src/standin/memory/box_site.cpp
@@ -1,4 +1,4 @@
-/** @file box_site.cpp Boxes that run tasks, in memory. */
+/** @file box_site.cpp Simulated boxes that run tasks. */
 #include "box_site.h"
 
 #include <algorithm>
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr Millis ONE_WAY_LATENCY(1);             ///< From a node to a box.
-constexpr Millis LATE_DELAY(3000);               ///< An order that is carried out late comes after this.
-constexpr Millis ORDER_TIMEOUT(350);             ///< An order without an answer has failed after this.
-constexpr Millis POLL_INTERVAL(5);               ///< A waiting answer looks for an end so often.
-constexpr Millis CANCEL_GRACE(3000);             ///< Nothing of a cancelled job starts later than this.
-constexpr Millis SHRINK_GRACE(4500);             ///< A room that has shrunk binds after this: 3 s and one report.
-constexpr uint32_t CRASHES_BEFORE_LIMIT = 3;     ///< After so many crashes under a task its starts are counted,
-constexpr uint32_t MAX_STARTS_AFTER_CRASHES = 3; ///< and with so many starts more a rule is broken.
-constexpr uint32_t CRASHES_TO_FAIL = 2;          ///< A task under which so many boxes have crashed may be given up.
+constexpr Millis ONE_WAY_LATENCY(1);         ///< Latency from a node to a box, and back.
+constexpr Millis LATE_DELAY(3000);           ///< Delay of an order that is executed late.
+constexpr Millis ORDER_TIMEOUT(350);         ///< Time after which an unanswered order has failed.
+constexpr Millis POLL_INTERVAL(5);           ///< Interval at which a waiting lease order checks for ends.
+constexpr Millis CANCEL_GRACE(3000);         ///< Time after a confirmed cancellation in which tasks may still start.
+constexpr Millis SHRINK_GRACE(4500);         ///< Time until reduced capacity is enforced: 3 s and one report.
+constexpr uint32_t CRASHES_BEFORE_LIMIT = 3; ///< Crashes while running a task from which on its starts are limited.
+constexpr uint32_t MAX_STARTS_AFTER_CRASHES = 3; ///< Further starts at which the limit is violated.
+constexpr uint32_t CRASHES_TO_FAIL = 2;          ///< Crashes while running a task after which it may be given up.
 
 } // namespace
 
@@ -147,7 +147,7 @@
 {
 	const auto known = this->jobs.find(order.task.job);
 	if (known == this->jobs.end()) {
-		this->AddViolation("a job that nobody handed in was started", order.task);
+		this->AddViolation("a job that was never submitted was started", order.task);
 		return;
 	}
 	const SiteJob &job = known->second;
@@ -159,13 +159,13 @@
 		this->AddViolation("started on a box of another service", order.task);
 	}
 	if (job.cancelled_at && this->clock.Now() > *job.cancelled_at + CANCEL_GRACE) {
-		this->AddViolation("started after its cancellation", order.task);
+		this->AddViolation("started after its cancellation was confirmed", order.task);
 	}
 	if (this->done_acknowledged.contains(order.task) && !step.lasting) {
 		this->AddViolation("started after an end that was noted as good", order.task);
 	}
 	if (!step.lasting && this->failures_acknowledged[order.task] >= job.failures_max) {
-		this->AddViolation("started after too many failures", order.task);
+		this->AddViolation("started after its last permitted failure", order.task);
 	}
 	this->CheckCrashLimit(job, order.task);
 	for (const Box &other : this->boxes | std::views::values) {
@@ -178,7 +178,7 @@
 			it.step = before;
 			it.index = index;
 			if (!this->done.contains(it)) {
-				this->AddViolation("started before an earlier step had ended", order.task);
+				this->AddViolation("started before an earlier step was complete", order.task);
 			}
 		}
 	}
@@ -199,7 +199,7 @@
 	std::ranges::for_each(box.running | std::views::values, [&taken](const Run &it) { taken += it.room; });
 	const bool binds = this->clock.Now() - box.resized_at >= SHRINK_GRACE;
 	if (!box.report.capacity.Holds(taken) && (binds || !box.capacity_before.Holds(taken))) {
-		this->AddViolation("started beyond the room of its box", task);
+		this->AddViolation("started beyond the capacity of its box", task);
 	}
 }
 
@@ -334,7 +334,7 @@
 	});
 	const bool limited = step.absent_max && !job.cancel_sent && !box.report.leaving;
 	if (limited && absent >= int64_t{*step.absent_max}) {
-		this->AddViolation("stopped while others of its step were away", task);
+		this->AddViolation("stopped while the maximum of absent tasks of its step was reached", task);
 	}
 	this->absent_tasks.insert(task);
 }
@@ -437,7 +437,7 @@
 void SiteOrders::Poll(const BoxReport &box, const LeaseOrder &order, Millis until,
 					  const BoxIncarnation &called_incarnation, const std::function<void(LeaseAnswer)> &done)
 {
-	/* An answer that waits is gone with the life that took the call. */
+	/* A waiting call is lost when the box restarts. */
 	if (this->site.IncarnationOf(box.box) != called_incarnation) {
 		this->scheduler.After(ORDER_TIMEOUT, [done] { done(LeaseAnswer{}); });
 		return;
--- a/src/standin/memory/box_site.h
+++ b/src/standin/memory/box_site.h
@@ -1,5 +1,5 @@
-/** @file box_site.h Boxes that run tasks, in memory: their state machine, orders by one node, and what must never
- * happen. */
+/** @file box_site.h Simulated boxes that run tasks: their state machine, the orders of one node, and checks of the
+ * rules for starting and stopping tasks. */
 #ifndef BOX_SITE_H
 #define BOX_SITE_H
 
@@ -9,126 +9,125 @@
 #include <map>
 #include <set>
 
-/** What the site knows of a job that callers handed in, to judge starts. */
+/** A submitted job, as far as the site needs it to check starts. */
 struct SiteJob {
-	JobSpec spec;                       ///< As handed in.
+	JobSpec spec;                       ///< As submitted.
 	ServiceName service;                ///< Service that runs it.
-	Millis run_time = Millis(500);      ///< Time that each of its tasks takes.
-	uint32_t fail_first = 0;            ///< Runs of each task that fail before one ends well.
-	uint32_t failures_max = 3;          ///< Runs of a task that may fail.
-	bool cancel_sent = false;           ///< Whether its cancellation was sent: no limit on absent tasks holds then.
+	Millis run_time = Millis(500);      ///< Run time of each of its tasks.
+	uint32_t fail_first = 0;            ///< Failing runs of each task before the first success.
+	uint32_t failures_max = 3;          ///< Failed runs after which a task is given up.
+	bool cancel_sent = false;           ///< Whether a cancellation was sent; it lifts the limit on absent tasks.
 	std::optional<Millis> cancelled_at; ///< When its cancellation was confirmed.
-	std::set<uint32_t> crashing_tasks;  ///< Tasks of its first step that crash each box that starts them.
+	std::set<uint32_t> crashing_tasks;  ///< Indexes of tasks of the first step that crash their box.
 	Millis crash_delay = Millis(10);    ///< Time from the start of such a task to the crash.
 };
 
-/** Faults of the way from the nodes to one box. */
+/** Faults of the connection from the nodes to one box. */
 struct BoxFaults {
-	bool unreachable = false;           ///< Nothing gets through; what runs goes on.
-	uint32_t lose_every = 0;            ///< Every n-th order is done without an answer; 0 for none.
-	bool late = false;                  ///< Those are done seconds later.
-	bool drop_starts_and_stops = false; ///< Starts and stops get lost on their way; lease orders are answered.
-	uint32_t lose_lease_every = 0;      ///< Every n-th lease order is done without an answer; 0 for none.
+	bool unreachable = false;           ///< No call gets through; running tasks continue.
+	uint32_t lose_every = 0;            ///< Every n-th start or stop is executed without an answer; 0 for none.
+	bool late = false;                  ///< Executes those orders seconds later.
+	bool drop_starts_and_stops = false; ///< Starts and stops never arrive; lease orders are answered.
+	uint32_t lose_lease_every = 0;      ///< Every n-th lease order is executed without an answer; 0 for none.
 };
 
-/** All boxes. Violations of the rules are collected as they happen. */
+/** All boxes. Records each violation of the rules in `violations`. */
 class BoxSite {
 public:
-	/** @param clock The world's clock. */
+	/** @param clock Clock of the simulation. */
 	explicit BoxSite(Scheduler &clock) : clock(clock) {}
 
-	/** Adds a box. @param report What it will say of itself. */
+	/** Adds a box. @param report Its report; the start time is filled in. */
 	void Add(const BoxReport &report);
-	/** A box's agent starts again: it loses all that runs, and its counts and its clock start anew. @param box Which.
+	/** Restarts a box's agent: all runs are lost, and its counters and its clock restart. @param box Name of the box.
 	 * @return Its new report. */
 	BoxReport Restart(const BoxName &box);
-	/** A box loses all that runs, answers nothing for `restart_delay`, then starts again. Its report stands meanwhile.
-	 * @param box Which. */
+	/** Crashes a box: it loses all runs, answers nothing for `restart_delay`, then restarts. Its report stays listed
+	 * meanwhile. @param box Name of the box. */
 	void Crash(const BoxName &box);
-	/** @return A box's own clock: the time since it started. @param box Which. */
+	/** @return A box's own clock: the time since it started. @param box Name of the box. */
 	[[nodiscard]] Millis ClockOf(const BoxName &box) const;
-	/** @return A box's current life. @param box Which. */
+	/** @return A box's current incarnation. @param box Name of the box. */
 	[[nodiscard]] const BoxIncarnation &IncarnationOf(const BoxName &box) const
 	{
 		return this->boxes.at(box).report.incarnation;
 	}
-	/** @return Whether a box has crashed and isn't back. @param box Which. */
+	/** @return Whether a box has crashed and has not restarted. @param box Name of the box. */
 	[[nodiscard]] bool Down(const BoxName &box) const;
-	/** A box serves another pool from now on. @param box Which. @param service The pool. */
+	/** Moves a box to another service. @param box Name of the box. @param service The new service. */
 	void Serve(const BoxName &box, const ServiceName &service) { this->boxes.at(box).report.service = service; }
-	/** A box's room changes while it runs. @param box Which. @param room Its new room. */
+	/** Changes the capacity of a running box. @param box Name of the box. @param room The new capacity. */
 	void Resize(const BoxName &box, const Resources &room);
-	/** @return Whether a job may be shown as failed: one of its tasks has failed too often, or two boxes have crashed
-	 * under it. @param id The job. */
+	/** @return Whether a job may be reported as failed: one of its tasks has used up its failures, or two boxes have
+	 * crashed while they ran it. @param id The job. */
 	[[nodiscard]] bool MayFail(const JobId &id) const;
-	/** Tells of a job. @param job It. */
+	/** Registers a job. @param job What was submitted. */
 	void AddJob(const SiteJob &job) { this->jobs[job.spec.id] = job; }
-	/** @return A job. @param id Which. */
+	/** @return A registered job. @param id Its id. */
 	SiteJob &JobOf(const JobId &id) { return this->jobs.at(id); }
 	/** @return Reports of all boxes. */
 	[[nodiscard]] std::vector<BoxReport> Reports() const;
 	/** @return Whether a task of a job was ever started. @param id The job. */
 	[[nodiscard]] bool Started(const JobId &id) const { return this->started.contains(id); }
-	/** @return Tasks of a job that run now. @param id The job. */
+	/** @return Number of running tasks of a job. @param id The job. */
 	[[nodiscard]] size_t Running(const JobId &id) const;
 
-	/* Orders, as they arrive. */
+	/* Executes orders at the box, as they arrive. */
 	OrderAnswer Start(const BoxReport &box, const StartOrder &order);
 	OrderAnswer Stop(const BoxReport &box, const TaskId &task, RunNumber run, FenceToken fence);
 	OrderAnswer Pace(const BoxReport &box, FenceToken fence);
 	LeaseAnswer Lease(const BoxReport &box, const LeaseOrder &order);
 
-	std::map<BoxName, BoxFaults> faults;                                     ///< Faults by box.
-	std::vector<std::string> violations;                                     ///< Rules broken, in words.
-	Millis lease_max = Millis(10000);                                        ///< Longest lease granted.
-	Millis stop_delay;                                                       ///< A stopped run is listed for so long.
-	std::function<bool(const BoxReport &, const StartOrder &)> ticket_valid; ///< Judges tickets; none are asked for
-																			 ///< without it.
-	uint64_t starts = 0;                                                     ///< Runs begun.
+	std::map<BoxName, BoxFaults> faults; ///< Faults by box.
+	std::vector<std::string> violations; ///< Descriptions of broken rules.
+	Millis lease_max = Millis(10000);    ///< Longest lease granted.
+	Millis stop_delay;                   ///< Time for which a stopped run stays listed.
+	std::function<bool(const BoxReport &, const StartOrder &)> ticket_valid; ///< Checks tickets; null when none are
+																			 ///< required.
+	uint64_t starts = 0;                                                     ///< Started runs.
 	uint64_t crashes = 0;                                                    ///< Crashes of boxes.
-	Millis restart_delay = Millis(3000);                                     ///< A crashed box is back after this.
-	bool keep_box_id = true;                                                 ///< Whether boxes keep their ids.
-	Millis wall_clock_lag; ///< Wall clocks of boxes that start are behind by so much.
-	bool checks_capacity =
-			true; ///< Whether boxes refuse what doesn't fit; otherwise they start all that they are told.
+	Millis restart_delay = Millis(3000);                                     ///< Time from a crash to the restart.
+	bool keep_box_id = true;     ///< Whether boxes keep their ids over a restart.
+	Millis wall_clock_lag;       ///< Lag of the wall clock of restarted boxes.
+	bool checks_capacity = true; ///< Whether boxes refuse starts beyond their capacity.
 
 private:
 	/** A run. */
 	struct Run {
-		RunNumber run;         ///< Which start.
-		Resources room;        ///< What it takes.
-		TimerId timer;         ///< Its end.
-		bool stopping = false; ///< A stop was taken.
+		RunNumber run;         ///< Number of the run.
+		Resources room;        ///< Resources in use.
+		TimerId timer;         ///< Ends the run.
+		bool stopping = false; ///< Whether a stop was accepted.
 	};
 
 	/** A box. */
 	struct Box {
-		BoxReport report;                    ///< What it says of itself.
-		FenceToken fence;                    ///< Highest token seen.
-		Millis started;                      ///< When its agent started; its own clock begins then.
-		Millis lease_until;                  ///< By its own clock.
-		TimerId lease_timer;                 ///< End of the lease.
-		std::map<TaskId, Run> running;       ///< What runs.
-		std::map<TaskId, RunNumber> stopped; ///< Runs up to this one can't start any more.
-		std::vector<EndedRow> ended;         ///< Ends not noted.
+		BoxReport report;                    ///< Its latest report.
+		FenceToken fence;                    ///< Highest fence token seen.
+		Millis started;                      ///< When its agent started; zero of its own clock.
+		Millis lease_until;                  ///< End of the lease by its own clock.
+		TimerId lease_timer;                 ///< Ends all runs when the lease expires.
+		std::map<TaskId, Run> running;       ///< Running tasks.
+		std::map<TaskId, RunNumber> stopped; ///< Highest run of each task that can't start any more.
+		std::vector<EndedRow> ended;         ///< Ends that the owner has not acknowledged.
 		uint64_t last_end = 0;               ///< Number of the last end.
-		bool down = false;                   ///< It has crashed and isn't back yet.
-		Resources capacity_before;           ///< Its room before the last change.
-		Millis resized_at{-1000000};         ///< When its room changed last.
+		bool down = false;                   ///< Whether it has crashed and not restarted.
+		Resources capacity_before;           ///< Capacity before the last change.
+		Millis resized_at{-1000000};         ///< When its capacity last changed.
 	};
 
-	Scheduler &clock;                                 ///< The world's clock.
-	std::set<JobId> started;                          ///< Jobs of which a task was started.
-	std::map<BoxName, Box> boxes;                     ///< Boxes.
-	std::map<JobId, SiteJob> jobs;                    ///< Jobs handed in.
-	std::map<TaskId, uint32_t> failures_acknowledged; ///< Failed runs noted.
-	std::set<TaskId> done;                            ///< Tasks of which a run has ended well.
-	std::set<TaskId> done_acknowledged;               ///< The same, noted.
-	std::map<TaskId, uint32_t> failures;              ///< Failed runs.
-	std::map<TaskId, uint32_t> crashes_by_task;       ///< Boxes that crashed while they ran a task.
-	std::map<TaskId, uint32_t> starts_after_crashes;  ///< Starts of a task after the third such crash.
-	std::set<TaskId> absent_tasks; ///< Tasks that an order ended and that were not started again since.
-	uint64_t new_box_ids = 0;      ///< Lives given out by Restart().
+	Scheduler &clock;                                 ///< Clock of the simulation.
+	std::set<JobId> started;                          ///< Jobs with at least one started task.
+	std::map<BoxName, Box> boxes;                     ///< Boxes by name.
+	std::map<JobId, SiteJob> jobs;                    ///< Registered jobs.
+	std::map<TaskId, uint32_t> failures_acknowledged; ///< Acknowledged failed runs by task.
+	std::set<TaskId> done;                            ///< Tasks with a successful run.
+	std::set<TaskId> done_acknowledged;               ///< Tasks whose success was acknowledged.
+	std::map<TaskId, uint32_t> failures;              ///< Failed runs by task.
+	std::map<TaskId, uint32_t> crashes_by_task;       ///< Number of boxes that crashed while running a task.
+	std::map<TaskId, uint32_t> starts_after_crashes;  ///< Starts of a task after CRASHES_BEFORE_LIMIT such crashes.
+	std::set<TaskId> absent_tasks;                    ///< Tasks that were stopped by an order and not started since.
+	uint64_t new_box_ids = 0;                         ///< Ids assigned by Restart().
 
 	Box *Find(const BoxReport &report);
 	[[nodiscard]] Millis ClockOf(const Box &box) const { return this->clock.Now() - box.started; }
@@ -146,10 +145,11 @@
 	void AddViolation(const std::string &rule, const TaskId &task);
 };
 
-/** Orders of one node to the boxes. */
+/** Sends the orders of one node to the boxes. */
 class SiteOrders : public BoxOrders {
 public:
-	/** @param scheduler The node's clock. @param clock The world's clock. @param site The boxes; outlives this. */
+	/** @param scheduler Clock of the node. @param clock Clock of the simulation. @param site The boxes; outlives this.
+	 */
 	SiteOrders(Scheduler &scheduler, VirtualScheduler &clock, BoxSite &site)
 			: scheduler(scheduler), clock(clock), site(site)
 	{
@@ -161,14 +161,14 @@
 	void Pace(const BoxReport &box, const TaskId &task, RunNumber run, int64_t percent, FenceToken fence,
 			  Done done) override;
 
-	std::set<BoxName> unreachable_boxes; ///< Boxes that this node alone can't reach.
+	std::set<BoxName> unreachable_boxes; ///< Boxes that only this node can't reach.
 
 private:
-	Scheduler &scheduler;                     ///< The node's clock.
-	VirtualScheduler &clock;                  ///< The world's clock.
+	Scheduler &scheduler;                     ///< Clock of the node.
+	VirtualScheduler &clock;                  ///< Clock of the simulation.
 	BoxSite &site;                            ///< The boxes.
 	uint32_t orders = 0;                      ///< Starts and stops sent.
-	std::map<BoxName, uint32_t> lease_orders; ///< Lease orders sent, by box.
+	std::map<BoxName, uint32_t> lease_orders; ///< Lease orders sent by box.
 
 	[[nodiscard]] bool CanReach(const BoxReport &box) const;
 	void Send(const BoxReport &box, std::function<OrderAnswer()> work, Done done);
--- a/src/standin/memory/fleet_site.cpp
+++ b/src/standin/memory/fleet_site.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_site.cpp Keepers, entries, a log and a platform in memory. */
+/** @file fleet_site.cpp Simulated keepers, entries, log and platform. */
 #include "fleet_site.h"
 
 #include "../../fleet/budget_func.h"
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0.
-constexpr Millis REBOOT_TIME(3000);         ///< Time that a box is away for a reboot.
-constexpr Millis JOB_TIME(2000);            ///< Time that a job runs.
-constexpr Millis HELLO_INTERVAL(500);       ///< Time between two hellos.
+constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0, Unix time.
+constexpr Millis REBOOT_TIME(3000);         ///< Time that a reboot takes.
+constexpr Millis JOB_TIME(2000);            ///< Run time of a job.
+constexpr Millis HELLO_INTERVAL(500);       ///< Interval of an entry's hellos.
 
 PlannerPolicy MakePlannerPolicy()
 {
@@ -89,7 +89,7 @@
 
 void SitePlatform::Acknowledge(const JobEnd &end)
 {
-	/* Told until acknowledged; the attempt itself stays known, so that a late order does not run it again. */
+	/* Ends are reported until acknowledged. The attempt is kept, so that a delayed order does not run it again. */
 	const auto it = this->jobs.find(end.job);
 	if (it != this->jobs.end() && it->second.first.attempt == end.attempt) {
 		it->second.second = true;
@@ -169,7 +169,7 @@
 			other->entries.OnKeeperBeat(beat);
 		}
 	}
-	/* With no snapshot that continues into the log, the states of peers help. */
+	/* When no snapshot reaches the start of the log, the state of a peer is adopted. */
 	if (this->tail.Phase() == TailPhase::TP_JOINING) {
 		for (const auto &other : this->site.keepers) {
 			if (other.get() != this && *other->scheduler.alive && other->tail.Phase() == TailPhase::TP_FOLLOWING) {
@@ -383,11 +383,11 @@
 	const FleetState &fleet = keeper.core.State();
 	const auto [it, first] = this->state_hashes.emplace(fleet.offset.Value(), fleet.Hash());
 	if (!first && it->second != fleet.Hash()) {
-		this->AddViolation("two states at offset " + std::to_string(fleet.offset.Value()));
+		this->AddViolation("keepers have different states at offset " + std::to_string(fleet.offset.Value()));
 	}
 	uint64_t &table = this->table_versions[keeper.name + std::to_string(keeper.core.self.incarnation.Value())];
 	if (fleet.table_version.Value() < table) {
-		this->AddViolation("table reverted at " + keeper.name);
+		this->AddViolation("table version decreased at keeper " + keeper.name);
 	}
 	table = fleet.table_version.Value();
 	this->CheckBudgets(keeper);
@@ -409,7 +409,7 @@
 	for (const PoolName &pool : granted) {
 		const PoolModel picture = PoolModelOf(fleet, pool);
 		if (!FloorsHold(CapacityOf(picture), FloorsOf(picture), true)) {
-			this->AddViolation("a permit left pool " + pool.Value() + " without its floors and guards");
+			this->AddViolation("a permit in pool " + pool.Value() + " violates its floors and guards");
 		}
 	}
 	before.clear();
--- a/src/standin/memory/fleet_site.h
+++ b/src/standin/memory/fleet_site.h
@@ -1,4 +1,4 @@
-/** @file fleet_site.h Keepers, entries, a log and a platform in memory, under a virtual clock, with fault switches. */
+/** @file fleet_site.h Simulated keepers, entries, log and platform under a virtual clock, with fault injection. */
 #ifndef FLEET_SITE_H
 #define FLEET_SITE_H
 
@@ -20,7 +20,7 @@
 
 class FleetSite;
 
-/** The platform besides its log: boxes that reboot, jobs that run. */
+/** The platform without its log: boxes that reboot and run jobs. */
 class SitePlatform : public BoxControl {
 public:
 	explicit SitePlatform(VirtualScheduler &clock) : clock(clock) {}
@@ -30,32 +30,34 @@
 	void FetchJobEnds(std::function<void(ResultCode, std::vector<JobEnd>)> done) override;
 	void Acknowledge(const JobEnd &end) override;
 
-	std::map<BoxName, ListedBox> boxes;              ///< The list as it is.
-	std::map<std::string, int> starts;               ///< Runs begun, by job.
-	std::map<JobName, std::pair<JobEnd, bool>> jobs; ///< Newest attempt and whether it still runs.
-	int lose_orders = 0;                             ///< Next orders that are lost.
-	std::set<JobName> failing_jobs;                  ///< Jobs that always fail.
-	std::set<BoxName> failing_boxes;                 ///< Boxes that fail every job.
-	std::map<BoxName, int> reboots;                  ///< Reboots carried out.
+	std::map<BoxName, ListedBox> boxes; ///< Listed boxes by name.
+	std::map<std::string, int> starts;  ///< Started runs by job.
+	std::map<JobName, std::pair<JobEnd, bool>>
+			jobs;                    ///< Latest attempt, and whether it needs no report: it runs or is acknowledged.
+	int lose_orders = 0;             ///< Number of next orders to drop.
+	std::set<JobName> failing_jobs;  ///< Jobs that fail on every box.
+	std::set<BoxName> failing_boxes; ///< Boxes on which every job fails.
+	std::map<BoxName, int> reboots;  ///< Completed orders to reboot, by box.
 
 private:
-	VirtualScheduler &clock; ///< The clock.
+	VirtualScheduler &clock; ///< Clock of the simulation.
 
 	bool TakeLostOrder();
 };
 
-/** A keeper without sockets. */
+/** A keeper that is called directly, without sockets. */
 class KeeperNode {
 public:
 	KeeperNode(FleetSite &site, const std::string &name, const std::string &zone, KeeperTimes times);
 
-	/** Begins its ticks. */
+	/** Starts its periodic work. */
 	void Start();
 
-	/** Publishes an edit against the table that this keeper knows. */
+	/** Publishes an edit against this keeper's table. @param cells Changed cells. @param base Table version that they
+	 * are based on. @return Filled in when the outcome is known. */
 	std::shared_ptr<glade::wire::OutcomeT> Publish(const std::vector<CellEdit> &cells, uint64_t base);
 
-	/** Proposes a change. */
+	/** Proposes a change. @param change The change. @return Filled in when the outcome is known. */
 	template <class T>
 	std::shared_ptr<glade::wire::OutcomeT> Propose(T change);
 
@@ -63,18 +65,18 @@
 	std::string name;          ///< Its name.
 	std::string zone;          ///< Its zone.
 	NodeScheduler scheduler;   ///< Its clock.
-	MemoryLog log;             ///< Its way to the log, with its own faults.
-	LogTail tail;              ///< The state.
-	LogWriter writer;          ///< Appends.
+	MemoryLog log;             ///< Its connection to the log, with its own faults.
+	LogTail tail;              ///< Fleet state, built from the log.
+	LogWriter writer;          ///< Appends proposals to the log.
 	KeeperCore core;           ///< Shared by the desks.
 	EntryHandler entries;      ///< Entries.
 	OperatorHandler operators; ///< Operators.
 	RegionPlanner planner;     ///< Planning.
 	SnapshotWriter snapshots;  ///< Snapshots.
-	bool list_frozen = false;  ///< Whether its list is late.
+	bool list_frozen = false;  ///< Whether its list of boxes is no longer updated.
 
 private:
-	bool joined_asked = false; ///< Whether its joining is not decided yet.
+	bool joined_asked = false; ///< Whether its proposal to join is undecided.
 
 	void OnRecord(const std::vector<Decision> &decisions);
 	void Tick();
@@ -82,7 +84,7 @@
 	void ListTick();
 };
 
-/** An entry without callers. */
+/** An entry that serves no callers. */
 class EntryStub : public EntryChannel {
 public:
 	EntryStub(FleetSite &site, const std::string &name, const std::string &zone);
@@ -93,76 +95,79 @@
 	std::string name;        ///< Its name.
 	std::string zone;        ///< Its zone.
 	NodeScheduler scheduler; ///< Its clock.
-	RouteTable routes;       ///< Its view.
-	KeeperNode *keeper;      ///< The keeper that it speaks to.
-	uint64_t incarnation;    ///< Its start.
-	bool cut = false;        ///< Whether it is cut from its keeper.
+	RouteTable routes;       ///< Routes of its latest view.
+	KeeperNode *keeper;      ///< Keeper that it is connected to, or null.
+	uint64_t incarnation;    ///< Its incarnation.
+	bool cut = false;        ///< Whether it is disconnected from its keeper.
 	uint64_t table_seen = 0; ///< Highest offset in force.
 
 private:
-	uint64_t number = 0;                ///< Hellos.
-	std::map<uint64_t, Millis> sent_at; ///< When they were sent.
+	uint64_t number = 0;                ///< Number of the last hello.
+	std::map<uint64_t, Millis> sent_at; ///< Send times of hellos by number.
 
 	void Tick();
 	void Hello();
 };
 
-/** A whole site, with an invariant checker on every folded record. */
+/** A whole site. Checks invariants after every record that a keeper applies. */
 class FleetSite {
 public:
 	explicit FleetSite(uint32_t boxes = 12, LogLimits limits = {});
 	~FleetSite();
 
-	/** Adds a keeper that starts now. */
+	/** Adds and starts a keeper. */
 	KeeperNode &AddKeeper(const std::string &name, const std::string &zone);
 
 	/** Kills a keeper. */
 	void Kill(KeeperNode &keeper);
 
-	/** Lets time pass. */
+	/** Advances the clock. @param span By how much. */
 	void Run(Millis span);
 
-	/** Lets time pass until something holds. */
+	/** Advances the clock until a condition holds. @param holds The condition. @param longest Time limit. @return
+	 * Whether it holds. */
 	bool RunUntil(const std::function<bool()> &holds, Millis longest);
 
-	/** @return The keeper that plans, or the first that lives. */
+	/** @return The keeper that plans, or else AnyKeeper(). */
 	KeeperNode &Planner();
 
-	/** @return Any keeper that lives and follows. */
+	/** @return A live keeper that follows the log, or else the first keeper. */
 	KeeperNode &AnyKeeper();
 
-	/** Publishes the first table and waits until all boxes serve. */
+	/** Publishes the first table and waits until all boxes are up. */
 	void SetUp();
 
-	/** Checks what must always hold, after a record. */
+	/** Checks the invariants after a keeper has applied a record. @param keeper The keeper. @param decisions Decisions
+	 * of the record. */
 	void CheckRecord(const KeeperNode &keeper, const std::vector<Decision> &decisions);
 
-	/** Heals all faults. */
+	/** Ends all faults; adds a keeper to each zone that has none. */
 	void Heal();
 
-	/** @return Whether all keepers that live have the same state. */
+	/** @return Whether all live keepers have the same state. */
 	[[nodiscard]] bool StatesAgree() const;
 
 	VirtualScheduler clock;                           ///< The clock.
 	LogStore store;                                   ///< The log.
-	SitePlatform platform;                            ///< Boxes and jobs.
-	std::vector<std::unique_ptr<KeeperNode>> keepers; ///< Keepers, dead ones too.
+	SitePlatform platform;                            ///< Boxes and their jobs.
+	std::vector<std::unique_ptr<KeeperNode>> keepers; ///< Keepers, including killed ones.
 	std::vector<std::unique_ptr<EntryStub>> entries;  ///< Entries.
-	std::map<uint64_t, uint64_t> state_hashes;        ///< Hash at each offset, as first seen.
-	std::map<std::string, uint64_t> table_versions;   ///< Table version of each keeper.
-	std::vector<std::string> violations;              ///< What did not hold.
-	std::set<std::string> accepted_jobs;              ///< Jobs told as accepted.
-	std::string timeline;                             ///< Accepted changes of the first keeper to fold them.
-	KeeperTimes times;                                ///< Times of keepers.
+	std::map<uint64_t, uint64_t> state_hashes; ///< State hash at each offset, from the first keeper that reached it.
+	std::map<std::string, uint64_t> table_versions; ///< Latest table version of each keeper's incarnation.
+	std::vector<std::string> violations;            ///< Descriptions of violated invariants.
+	std::set<std::string> accepted_jobs;            ///< Jobs reported as accepted.
+	std::string timeline;                           ///< Decisions in order, each from the first keeper that applied it.
+	KeeperTimes times;                              ///< Timing settings of the keepers.
 
 private:
-	std::map<uint64_t, bool> timeline_offsets; ///< Offsets in the timeline.
+	std::map<uint64_t, bool> timeline_offsets; ///< Offsets that the timeline has.
 
 	void AddViolation(const std::string &what);
 	void CheckBudgets(const KeeperNode &keeper);
 	void AppendTimeline(const KeeperNode &keeper, const std::vector<Decision> &decisions);
 
-	std::map<std::string, std::map<BoxName, BoxState>> box_states; ///< Box states of each keeper, before the record.
+	std::map<std::string, std::map<BoxName, BoxState>>
+			box_states; ///< Box states of each keeper before the current record.
 };
 
 template <class T>
--- a/src/standin/memory/keyed_store.cpp
+++ b/src/standin/memory/keyed_store.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr size_t KEPT_ANSWERS = 5;   ///< Appends of a producer whose answer is given again.
-constexpr Millis LATE_DELAY(2500);   ///< A call that is carried out late comes after this.
-constexpr Millis CALL_TIMEOUT(1000); ///< A call on a silent way fails after this.
-constexpr Millis POLL_INTERVAL(5);   ///< A long poll looks so often.
-constexpr size_t PAGE_RECORDS = 50;  ///< Records of a page; the platform's are larger.
+constexpr size_t KEPT_ANSWERS = 5;   ///< Latest appends of a producer that are deduplicated.
+constexpr Millis LATE_DELAY(2500);   ///< Delay of a call that is executed late.
+constexpr Millis CALL_TIMEOUT(1000); ///< Time after which an unanswered call fails.
+constexpr Millis POLL_INTERVAL(5);   ///< Interval at which a long poll checks for records.
+constexpr size_t PAGE_RECORDS = 50;  ///< Records of a page; the platform's pages are larger.
 
 } // namespace
 
@@ -120,7 +120,7 @@
 
 void KeyedStore::CompleteHandovers(Group &group) const
 {
-	/* A partition goes over once its holder has named the generation in which it lost it, or is gone. */
+	/* A partition is handed over when its holder has left or has reported a generation in which it no longer has it. */
 	for (const auto &[part, member] : group.assigned) {
 		const auto holder = group.holders.find(part);
 		const auto old = holder == group.holders.end() ? group.members.end() : group.members.find(holder->second);
--- a/src/standin/memory/keyed_store.h
+++ b/src/standin/memory/keyed_store.h
@@ -1,4 +1,4 @@
-/** @file keyed_store.h The platform's keyed log in memory: its state, and a client for one node with faults by switch.
+/** @file keyed_store.h The platform's keyed log in memory: its state, and a client for one node with fault injection.
  */
 #ifndef KEYED_STORE_H
 #define KEYED_STORE_H
@@ -10,65 +10,65 @@
 #include <map>
 #include <set>
 
-/** State of the log: partitions and groups. No transport, no time but what is passed in. */
+/** State of the log: partitions and consumer groups. It has no transport; callers pass in the time. */
 class KeyedStore {
 public:
 	/** @param parts Partitions of each topic. */
 	explicit KeyedStore(uint32_t partition_count) : partition_count(partition_count) {}
 
-	/** Appends, as KeyedLog says. */
+	/** Appends records; see KeyedLog::Append(). */
 	KeyedAppendAnswer Append(const PartitionId &partition, const std::vector<KeyedRecord> &records,
 							 const AppendCondition &condition);
-	/** Reads, as KeyedLog says, without waiting. */
+	/** Reads records without waiting; see KeyedLog::Read(). */
 	KeyedReadAnswer Read(const PartitionId &partition, uint64_t from) const;
-	/** Reads newest records, as KeyedLog says. */
+	/** Reads the newest record of each key, page by page; see KeyedLog::Newest(). */
 	NewestPage Newest(const PartitionId &partition, const std::string &after) const;
-	/** Joins a group, as KeyedLog says. */
+	/** Joins a group or renews the membership; see KeyedLog::Join(). */
 	GroupMembership Join(const std::string &group, const std::string &member, const std::string &topic, Millis silence,
 						 uint64_t generation, Millis now);
 	/** Leaves a group. */
 	void Leave(const std::string &group, const std::string &member);
-	/** @return Holders of a group's partitions; a member that is silent for too long holds nothing. */
+	/** @return Holders of a group's partitions, without those of members whose membership has timed out. */
 	std::vector<PartitionHolder> Holders(const std::string &group, Millis now) const;
-	/** Forgets the history of all partitions: only newest records stay. */
+	/** Compacts all partitions: only the newest record of each key remains. */
 	void Compact();
-	/** Deals all partitions of all groups anew, unasked. */
+	/** Reassigns the partitions of all groups, as the platform may do at any time. */
 	void ReassignPartitions();
 
-	std::function<void()> on_append; ///< Told after each append.
+	std::function<void()> on_append; ///< Called after each append.
 
 private:
 	/** Appends of one producer to a partition. */
 	struct Producer {
 		uint64_t epoch = 0;                            ///< Highest epoch seen.
-		std::map<uint64_t, KeyedAppendAnswer> answers; ///< Answers by sequence number, the last five.
-		uint64_t next = 0;                             ///< Sequence number wanted.
-		bool has_appended = false;                     ///< Whether this epoch has appended.
+		std::map<uint64_t, KeyedAppendAnswer> answers; ///< Last KEPT_ANSWERS answers by sequence number.
+		uint64_t next = 0;                             ///< Next expected sequence number.
+		bool has_appended = false;                     ///< Whether the producer has appended in this epoch.
 	};
 
 	/** A partition. */
 	struct Partition {
 		std::vector<KeyedRecord> records;          ///< All records; offsets count from 0.
-		uint64_t first = 0;                        ///< Oldest one kept.
+		uint64_t first = 0;                        ///< Offset of the oldest record that can be read.
 		std::map<std::string, std::string> newest; ///< Newest value of each key.
 		std::map<std::string, Producer> producers; ///< Producers by name.
 	};
 
 	/** A member of a group. */
 	struct Member {
-		Millis last_join;        ///< When it was heard of last.
-		Millis silence;          ///< It is out after this.
-		uint64_t generation = 0; ///< Generation that it has named.
+		Millis last_join;        ///< Time of its last join.
+		Millis silence;          ///< Time without a join after which it is removed.
+		uint64_t generation = 0; ///< Generation that it last reported.
 	};
 
 	/** A group. */
 	struct Group {
-		std::string topic;                        ///< What is dealt.
-		uint64_t generation = 0;                  ///< Rises with each change.
-		uint64_t rotation = 0;                    ///< Moves the deal.
+		std::string topic;                        ///< Topic whose partitions are assigned.
+		uint64_t generation = 0;                  ///< Increases with each assignment.
+		uint64_t rotation = 0;                    ///< Rotates the assignment.
 		std::map<std::string, Member> members;    ///< Members by name.
-		std::map<uint32_t, std::string> holders;  ///< Who holds what.
-		std::map<uint32_t, std::string> assigned; ///< Who is to hold what.
+		std::map<uint32_t, std::string> holders;  ///< Present holders by partition.
+		std::map<uint32_t, std::string> assigned; ///< Members that are to hold each partition.
 	};
 
 	uint32_t partition_count;                    ///< Partitions of each topic.
@@ -79,21 +79,22 @@
 	void CompleteHandovers(Group &group) const;
 };
 
-/** Faults of one node's way to the log. Change them at any time. */
+/** Faults of one node's connection to the log. They may be changed at any time. */
 struct StoreFaults {
-	bool silent = false;                     ///< Calls get no answer, nothing is done.
-	std::set<PartitionId> silent_partitions; ///< The same for calls to these partitions alone.
-	bool refusing = false;                   ///< Appends and joins are refused, reads fail: nothing is done.
-	uint32_t lose_every = 0;                 ///< Every n-th append is done but not answered; 0 for none.
-	bool late = false;                       ///< Those are done seconds later instead of at once.
+	bool silent = false;                     ///< Calls get no answer and are not executed.
+	std::set<PartitionId> silent_partitions; ///< Partitions whose calls get no answer and are not executed.
+	bool refusing = false;                   ///< Appends and joins are refused, reads fail; nothing is executed.
+	uint32_t lose_every = 0;                 ///< Every n-th append is executed but not answered; 0 for none.
+	bool late = false;                       ///< Executes those appends seconds later.
 	bool join_lost = false;                  ///< Joins get no answer and have no effect.
-	Millis latency = Millis(4);              ///< One way.
+	Millis latency = Millis(4);              ///< One-way latency.
 };
 
-/** A node's client. */
+/** Client of one node. */
 class KeyedStoreClient : public KeyedLog {
 public:
-	/** @param scheduler The node's clock. @param clock The world's clock. @param store The log; outlives this. */
+	/** @param scheduler Clock of the node. @param clock Clock of the simulation. @param store The log; outlives this.
+	 */
 	KeyedStoreClient(Scheduler &scheduler, VirtualScheduler &clock, KeyedStore &store)
 			: scheduler(scheduler), clock(clock), store(store)
 	{
@@ -114,18 +115,18 @@
 	StoreFaults faults; ///< Faults in force.
 
 private:
-	Scheduler &scheduler;        ///< The node's clock: answers wait while it is paused.
-	VirtualScheduler &clock;     ///< The world's clock: calls arrive also then.
+	Scheduler &scheduler;        ///< Clock of the node; answers are held while it is paused.
+	VirtualScheduler &clock;     ///< Clock of the simulation; calls arrive also while the node is paused.
 	KeyedStore &store;           ///< The log.
-	uint32_t appends = 0;        ///< Appends sent.
-	Millis lost_at = NEVER_LOST; ///< For AnswerLostAt().
+	uint32_t appends = 0;        ///< Number of appends sent.
+	Millis lost_at = NEVER_LOST; ///< Time of the last call without an answer.
 
-	/** @return Whether calls get no answer. @param partition Where they go; none for calls about groups. */
+	/** @return Whether calls get no answer. @param partition Partition called; none for calls about groups. */
 	[[nodiscard]] bool DropsCalls(const std::optional<PartitionId> &partition) const
 	{
 		return this->faults.silent || (partition && this->faults.silent_partitions.contains(*partition));
 	}
-	/** Makes a call: `work` runs at the log, its answer comes back; `failed` is told when the way is broken. */
+	/** Executes `work` at the log and passes its answer to `done`, or `failed` when a fault stops the call. */
 	template <class Answer>
 	void Call(const std::optional<PartitionId> &partition, std::function<Answer()> work, Answer failed, Millis patience,
 			  const std::function<void(Answer)> &done);
--- a/src/standin/memory/node_scheduler.h
+++ b/src/standin/memory/node_scheduler.h
@@ -1,5 +1,5 @@
-/** @file node_scheduler.h Clock of one process in memory: it can be killed, paused as by a stopped process, suspended
- * with its machine, or be short of processor time. */
+/** @file node_scheduler.h Scheduler of one simulated process, which can be killed, paused (as by SIGSTOP), suspended
+ * together with its machine, or starved of processor time. */
 #ifndef NODE_SCHEDULER_H
 #define NODE_SCHEDULER_H
 
@@ -10,7 +10,7 @@
 #include <memory>
 #include <utility>
 
-/** Runs on the world's clock while its process lives. */
+/** Runs callbacks on the simulation's clock while the process is alive. */
 class NodeScheduler : public Scheduler {
 public:
 	explicit NodeScheduler(VirtualScheduler &clock) : clock(clock) {}
@@ -34,36 +34,36 @@
 		return id;
 	}
 
-	/** The machine is suspended: nothing runs, and the time does not count for timers that are set; when it wakes, the
-	 * clock has jumped ahead of them. @param span For how long. */
+	/** Suspends the machine: nothing runs, and pending timers don't count the time, while the clock does. @param span
+	 * Length of the suspension. */
 	void Suspend(Millis span)
 	{
 		this->paused_until = this->clock.Now() + span;
 		this->suspended_time = this->suspended_time + span;
 	}
 
-	/** What a callback has cost in microseconds of processor time at the node's share of a core, told after each one;
-	 * null when work takes no time. The node stands still for so long. */
+	/** Returns the cost of the last callback in microseconds at the node's share of a core; the node stalls for that
+	 * long. Called after each callback; null when work takes no time. */
 	std::function<double()> take_cost;
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< False once killed.
-	Millis paused_until;                                        ///< Everything waits until then.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< False once the process is killed.
+	Millis paused_until;                                        ///< End of the current pause; nothing runs before it.
 	bool counts_sleep = true; ///< Whether Now() counts the time for which the machine was suspended.
 
 private:
 	static constexpr double US_PER_MS = 1000; ///< Microseconds in a millisecond.
 
-	/** A timer that is set. */
+	/** A pending timer. */
 	struct Timer {
-		std::function<void()> run; ///< What it runs.
-		Millis suspended_time;     ///< Time suspended before it was set.
+		std::function<void()> run; ///< Callback.
+		Millis suspended_time;     ///< Suspended time that it has already accounted for.
 	};
 
-	VirtualScheduler &clock;         ///< The world's clock.
-	uint64_t last_id = 0;            ///< Last timer handed out.
-	std::map<TimerId, Timer> timers; ///< Timers that are set, also those that wait for a pause to end.
-	Millis suspended_time;           ///< Time for which the machine was suspended so far.
-	double stall_us = 0;             ///< Time for which the node has yet to stand still.
-	std::deque<TimerId> deferred;    ///< Timers that came due while it did, in order.
+	VirtualScheduler &clock;         ///< Clock of the simulation.
+	uint64_t last_id = 0;            ///< Id of the last timer.
+	std::map<TimerId, Timer> timers; ///< Pending timers, including those that a pause holds back.
+	Millis suspended_time;           ///< Total time for which the machine was suspended.
+	double stall_us = 0;             ///< Remaining stall.
+	std::deque<TimerId> deferred;    ///< Timers that expired during a stall, in order.
 
 	void Arm(TimerId id, Millis delay)
 	{
@@ -101,7 +101,7 @@
 		}
 	}
 
-	/* One timer of the world serves all that wait: a node that is behind has thousands. */
+	/* One timer of the simulation serves all deferred timers: an overloaded node has thousands of them. */
 	void Defer(TimerId id)
 	{
 		this->deferred.push_back(id);
--- a/src/standin/memory/request_world.cpp
+++ b/src/standin/memory/request_world.cpp
@@ -1,4 +1,4 @@
-/** @file request_world.cpp Entries, endpoints and callers in memory. */
+/** @file request_world.cpp Simulated entries, endpoints and callers. */
 #include "request_world.h"
 
 #include "../../fleet/fleet_hash.h"
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0.
-constexpr Millis CONNECT_TIME(1);           ///< Time until a connection stands or fails.
-constexpr Millis LATE_TIME(3000);           ///< Time after which a late endpoint answers.
-constexpr Millis TICK_INTERVAL(50);         ///< Gates and leases.
-constexpr Millis LEASE_SPAN(2000);          ///< Lease of a renewal.
+constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0, Unix time.
+constexpr Millis CONNECT_TIME(1);           ///< Time until a connection is established or fails.
+constexpr Millis LATE_TIME(3000);           ///< Run time of a request at a late endpoint.
+constexpr Millis TICK_INTERVAL(50);         ///< Interval of lease renewals and of the gates' ticks.
+constexpr Millis LEASE_SPAN(2000);          ///< Length of a lease.
 
-/** A call to an endpoint. */
+/** A call to a simulated endpoint. */
 class FakeCall : public EndpointCall, public std::enable_shared_from_this<FakeCall> {
 public:
 	FakeCall(EntryNode &entry, FakeEndpoint &endpoint, const CallerRequest &request, CallEvents &events)
@@ -30,11 +30,11 @@
 	}
 
 private:
-	EntryNode &entry;       ///< Who calls.
-	FakeEndpoint &endpoint; ///< Who is called.
+	EntryNode &entry;       ///< Calling entry.
+	FakeEndpoint &endpoint; ///< Called endpoint.
 	CallerRequest request;  ///< The request.
-	CallEvents *events;     ///< Gets what happens.
-	bool paused = false;    ///< Whether the entry takes nothing now.
+	CallEvents *events;     ///< Receiver of events; null once abandoned or complete.
+	bool paused = false;    ///< Whether the entry accepts no data at present.
 
 	[[nodiscard]] std::string Submission() const { return *this->request.headers.Find("Submission"); }
 
@@ -52,7 +52,7 @@
 		const EndpointBehavior behavior = this->endpoint.behavior;
 		RequestWorld &world = this->entry.world;
 		if (!*this->entry.scheduler.alive) {
-			return; /* Killed before the connection stood: nothing was sent. */
+			return; /* Killed before the connection was established: nothing was sent. */
 		}
 		if (behavior == EndpointBehavior::EB_REFUSE) {
 			world.Note(this->endpoint.box + " refuses the connection");
@@ -134,7 +134,7 @@
 	}
 };
 
-/** Holds a fake call for its exchange: the endpoint works on when the exchange lets go. */
+/** Owned by the exchange; the endpoint goes on with the request when the exchange drops it. */
 class CallHandle : public EndpointCall {
 public:
 	explicit CallHandle(std::shared_ptr<FakeCall> call) : call(std::move(call)) {}
@@ -146,7 +146,7 @@
 	std::shared_ptr<FakeCall> call; ///< The call.
 };
 
-/** A call to another entry: the request is served there. */
+/** A call that forwards a request to another entry. */
 class PeerCall : public EndpointCall {
 public:
 	PeerCall(EntryNode &from, EntryNode *to, const CallerRequest &request, CallEvents &events)
@@ -160,18 +160,18 @@
 	void Abandon() override { this->state->events = nullptr; }
 
 private:
-	/** The two ends. */
+	/** Both ends of the call; outlives the handle while events are pending. */
 	struct State : public CallerSink {
 		State(EntryNode &from, EntryNode *to, const CallerRequest &request, CallEvents &events)
 				: from(from), to(to), request(request), events(&events)
 		{
 		}
 
-		EntryNode &from;                    ///< Who calls.
-		EntryNode *to;                      ///< Who is called, null for nobody.
+		EntryNode &from;                    ///< Calling entry.
+		EntryNode *to;                      ///< Called entry; null when the address is unknown.
 		CallerRequest request;              ///< The request.
-		CallEvents *events;                 ///< Gets what happens.
-		std::shared_ptr<Exchange> exchange; ///< The request at the other entry.
+		CallEvents *events;                 ///< Receiver of events; null once abandoned or complete.
+		std::shared_ptr<Exchange> exchange; ///< The request as served by the called entry.
 
 		[[nodiscard]] bool CanDeliver() const { return this->events != nullptr && *this->from.scheduler.alive; }
 
@@ -193,7 +193,7 @@
 			this->WatchTarget(self);
 		}
 
-		/** Tells the caller's entry when the other is killed. */
+		/** Reports a failed call when the called entry is killed. */
 		void WatchTarget(const std::shared_ptr<State> &self)
 		{
 			if (!*this->to->scheduler.alive) {
@@ -234,10 +234,10 @@
 		[[nodiscard]] bool Congested() const override { return false; }
 	};
 
-	std::shared_ptr<State> state; ///< The two ends.
+	std::shared_ptr<State> state; ///< Both ends of the call.
 };
 
-/** Calls of an entry: to endpoints, or to other entries. */
+/** Starts calls of an entry to endpoints and to other entries. */
 class FakeDialer : public EndpointDialer {
 public:
 	explicit FakeDialer(EntryNode &entry) : entry(entry) {}
@@ -259,7 +259,7 @@
 	}
 
 private:
-	EntryNode &entry; ///< Who calls.
+	EntryNode &entry; ///< Calling entry.
 };
 
 } // namespace
@@ -351,7 +351,7 @@
 		this->AddEntry("entry-" + std::to_string(i), "zone-a");
 	}
 	this->Tick();
-	/* Until keys issued now are after the settling of the first membership. */
+	/* Keys issued from now on must be later than the settling time of the first membership. */
 	this->Run(Millis(20000));
 	this->timeline.clear();
 	this->began = this->clock.Now();
--- a/src/standin/memory/request_world.h
+++ b/src/standin/memory/request_world.h
@@ -1,5 +1,4 @@
-/** @file request_world.h Entries, endpoints and callers in memory, under a virtual clock, with every fault of the
- * matrix. */
+/** @file request_world.h Simulated entries, endpoints and callers under a virtual clock, with fault injection. */
 #ifndef REQUEST_WORLD_H
 #define REQUEST_WORLD_H
 
@@ -15,48 +14,48 @@
 #include <string>
 #include <vector>
 
-/** What an endpoint does with a request. */
+/** How an endpoint treats requests. */
 enum class EndpointBehavior : uint8_t {
-	EB_ANSWER,       ///< Runs it and answers.
+	EB_ANSWER,       ///< Runs the request and answers.
 	EB_REFUSE,       ///< Refuses the connection.
 	EB_ACCEPT_CLOSE, ///< Accepts and closes without reading.
-	EB_READ_CLOSE,   ///< Reads it, runs it, closes without answering.
-	EB_HALF_CLOSE,   ///< Runs it, answers half, closes.
-	EB_HALF_STALL,   ///< Runs it, answers half, stalls.
-	EB_LATE,         ///< Runs it, answers after the deadline.
-	EB_NOT_RUN,      ///< Answers 503, not run.
-	EB_ERROR,        ///< Runs it, answers 500.
-	EB_COUNT,        ///< Number of deeds.
+	EB_READ_CLOSE,   ///< Runs the request and closes without answering.
+	EB_HALF_CLOSE,   ///< Runs the request, sends half of the answer and closes.
+	EB_HALF_STALL,   ///< Runs the request, sends half of the answer and stalls.
+	EB_LATE,         ///< Runs the request and answers after the deadline.
+	EB_NOT_RUN,      ///< Answers 503 without running the request.
+	EB_ERROR,        ///< Runs the request and answers 500.
+	EB_COUNT,        ///< Number of behaviors.
 };
 
-const char *NameOf(EndpointBehavior behavior); ///< Word for timelines.
+const char *NameOf(EndpointBehavior behavior); ///< Name for timelines and test cases.
 
 class RequestWorld;
 struct EntryNode;
 
-/** An endpoint. */
+/** A simulated endpoint. */
 struct FakeEndpoint {
-	std::string box;                                         ///< Its box.
-	EndpointBehavior behavior = EndpointBehavior::EB_ANSWER; ///< What it does.
-	Millis work = Millis(5);                                 ///< Time that a request takes.
-	uint32_t slots = 8;                                      ///< Slots.
-	uint32_t running = 0;                                    ///< Requests running.
-	uint32_t peak = 0;                                       ///< Most that ran side by side.
-	std::vector<std::string> runs;                           ///< Submissions that ran, by their header "Submission".
+	std::string box;                                         ///< Name of its box.
+	EndpointBehavior behavior = EndpointBehavior::EB_ANSWER; ///< How it treats requests.
+	Millis work = Millis(5);                                 ///< Run time of a request.
+	uint32_t slots = 8;                                      ///< Requests that may run at a time.
+	uint32_t running = 0;                                    ///< Running requests.
+	uint32_t peak = 0;                                       ///< Maximum of concurrent requests.
+	std::vector<std::string> runs;                           ///< Header "Submission" of each request that ran.
 };
 
-/** What a caller saw. */
+/** A caller, with what it has received. */
 struct CallerProbe : public CallerSink {
-	std::string name;                   ///< Submission.
-	ResponseHead head;                  ///< Head received.
-	std::string body;                   ///< Body received.
-	bool begun = false;                 ///< Whether a head came.
-	bool ended = false;                 ///< Whether the answer is whole.
-	bool broken = false;                ///< Whether the connection broke.
-	bool gone = false;                  ///< Whether the caller left.
-	bool congested = false;             ///< Whether it takes nothing now.
-	RequestWorld *world = nullptr;      ///< For the timeline.
-	EntryNode *entry = nullptr;         ///< Where it was sent.
+	std::string name;                   ///< Its header "Submission".
+	ResponseHead head;                  ///< Received response head.
+	std::string body;                   ///< Received part of the body.
+	bool begun = false;                 ///< Whether a response head was received.
+	bool ended = false;                 ///< Whether the answer is complete.
+	bool broken = false;                ///< Whether the connection was lost.
+	bool gone = false;                  ///< Whether the caller has disconnected.
+	bool congested = false;             ///< Whether it accepts no data at present.
+	RequestWorld *world = nullptr;      ///< Whose timeline it writes to.
+	EntryNode *entry = nullptr;         ///< Entry that serves the request.
 	std::shared_ptr<Exchange> exchange; ///< The request.
 
 	void Begin(const ResponseHead &it) override;
@@ -65,78 +64,79 @@
 	void Abort() override;
 	[[nodiscard]] bool Congested() const override { return this->congested; }
 
-	/** @return Whether the answer says that the request was not run. */
+	/** @return Whether the answer states that the request was not run. */
 	[[nodiscard]] bool SaysNotRun() const;
 
-	/** @return Number of the result code, 0 for none. */
+	/** @return Number of the result code in the answer, 0 for none. */
 	[[nodiscard]] int Code() const;
 };
 
-/** Everybody may call; the token is the member firm's name. */
+/** Accepts every caller; the header "Authorization" is the account name. */
 class OpenCredentials : public CredentialStore {
 public:
 	[[nodiscard]] const Credential *Find(const std::string *authorization) const override;
 
 private:
-	mutable std::map<std::string, Credential> made; ///< Credentials handed out.
+	mutable std::map<std::string, Credential> made; ///< Credentials by account name.
 };
 
-/** An entry. */
+/** A simulated entry. */
 struct EntryNode {
 	EntryNode(RequestWorld &world, const std::string &name, const std::string &zone, uint64_t incarnation);
 
 	std::string name;                       ///< Its name.
-	std::string address;                    ///< Its address for peers.
+	std::string address;                    ///< Address for other entries.
 	NodeScheduler scheduler;                ///< Its clock.
-	OpenCredentials credentials;            ///< Who may call.
+	OpenCredentials credentials;            ///< Credentials of callers.
 	RequestPath path;                       ///< The request path.
-	std::unique_ptr<EndpointDialer> dialer; ///< Its calls.
-	bool cut_from_peers = false;            ///< Whether peers can't reach it.
-	bool renew = true;                      ///< Whether its lease is renewed.
-	RequestWorld &world;                    ///< The world.
+	std::unique_ptr<EndpointDialer> dialer; ///< Connects to endpoints and other entries.
+	bool cut_from_peers = false;            ///< Whether it is cut off from other entries.
+	bool renew = true;                      ///< Whether it gets views and lease renewals.
+	RequestWorld &world;                    ///< The simulation.
 };
 
-/** Callers, entries and endpoints of one zone or more. */
+/** A simulation of callers, entries and endpoints. */
 class RequestWorld {
 public:
 	explicit RequestWorld(uint32_t endpoints = 4, uint32_t entries = 2);
 	~RequestWorld();
 
-	/** Adds an entry that joins now. */
+	/** Adds an entry, which joins at once. @param name Its name. @param zone Its zone. */
 	EntryNode &AddEntry(const std::string &name, const std::string &zone);
 
-	/** Publishes the present membership and boxes to all entries that live. */
+	/** Publishes the current members and boxes to all live entries. */
 	void PublishViews();
 
-	/** Sends a request. */
+	/** Sends a request. @param entry Receiving entry. @param method HTTP method. @param name Header "Submission".
+	 * @param key Idempotency key, empty for none. @param target Path. */
 	CallerProbe &Submit(EntryNode &entry, const std::string &method, const std::string &name,
 						const std::string &key = "", const std::string &target = "/misting/on");
 
-	/** Kills an entry: it does nothing any more, its callers' connections break. */
+	/** Kills an entry; the connections of its callers are lost. */
 	void Kill(EntryNode &entry);
 
-	/** Lets time pass; renews leases and ticks gates. */
+	/** Advances the clock. @param span By how much. */
 	void Run(Millis span);
 
-	/** Writes a line of the timeline. */
+	/** Adds a line to the timeline. @param line The text, without the time. */
 	void Note(const std::string &line);
 
-	/** A key issued now. */
+	/** @return An idempotency key issued now. @param tail Makes it unique. */
 	std::string NewKey(const std::string &tail);
 
-	/** How often a submission ran, over all endpoints. */
+	/** @return How often a submission ran at all endpoints. @param submission Its header "Submission". */
 	[[nodiscard]] int RunsOf(const std::string &submission) const;
 
-	VirtualScheduler clock;                           ///< The clock.
-	std::map<std::string, FakeEndpoint> endpoints;    ///< By address.
-	std::vector<std::unique_ptr<EntryNode>> entries;  ///< Entries, dead ones too.
-	std::vector<std::unique_ptr<CallerProbe>> probes; ///< Callers.
-	FleetState fleet;                                 ///< What views are built from.
-	std::string timeline;                             ///< What happened, a line each.
-	Millis began;                                     ///< Virtual time of the timeline's zero.
+	VirtualScheduler clock;                           ///< Clock of the simulation.
+	std::map<std::string, FakeEndpoint> endpoints;    ///< Endpoints by address.
+	std::vector<std::unique_ptr<EntryNode>> entries;  ///< Entries, including killed ones.
+	std::vector<std::unique_ptr<CallerProbe>> probes; ///< All callers.
+	FleetState fleet;                                 ///< Fleet state from which views are built.
+	std::string timeline;                             ///< Events, one a line.
+	Millis began;                                     ///< Start of the timeline.
 
 private:
-	uint64_t view_version = 0; ///< Versions of views.
+	uint64_t view_version = 0; ///< Version of the latest view.
 
 	void Tick();
 };
--- a/src/standin/memory/simple_view.cpp
+++ b/src/standin/memory/simple_view.cpp
@@ -1,9 +1,9 @@
-/** @file simple_view.cpp Views for tests and benches that need no fleet behind them. */
+/** @file simple_view.cpp Views for tests and benches that run without a fleet. */
 #include "simple_view.h"
 
 namespace {
 
-constexpr uint32_t CEILING = 1000000; ///< Ceiling of each service: none in effect.
+constexpr uint32_t CEILING = 1000000; ///< Ceiling of each service in slots; high enough not to limit.
 
 } // namespace
 
