--- a/src/standin/endpoint/endpoint_standin.cpp
+++ b/src/standin/endpoint/endpoint_standin.cpp
@@ -1,4 +1,4 @@
-/** @file endpoint_standin.cpp A small endpoint with slots and fault switches. */
+/** @file endpoint_standin.cpp A small endpoint with slots and fault injection. */
 #include "endpoint_standin.h"
 
 #include <QJsonDocument>
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr int LATE_FACTOR = 10;            ///< How much longer a late answer takes.
-constexpr Millis STREAM_PART_INTERVAL(20); ///< Time between two parts of a stream.
-constexpr size_t STREAM_PART_BYTES = 1024; ///< Bytes of a part.
+constexpr int LATE_FACTOR = 10;            ///< Factor by which a late answer takes longer.
+constexpr Millis STREAM_PART_INTERVAL(20); ///< Interval of the parts of a stream.
+constexpr size_t STREAM_PART_BYTES = 1024; ///< Size of a part.
 
-/** Sends a small whole answer. */
+/** Sends a complete answer. @param sink Caller. @param status HTTP status. @param body Body, JSON. @param run Value of
+ * the run header; null to leave it out. */
 void SendAnswer(CallerSink &sink, int status, const std::string &body, const char *run = nullptr)
 {
 	ResponseHead head;
@@ -35,7 +36,7 @@
 
 } // namespace
 
-/** A request that runs. */
+/** A running request. */
 class EndpointRun : public ServedRequest, public std::enable_shared_from_this<EndpointRun> {
 public:
 	EndpointRun(EndpointStandin &endpoint, CallerSink &sink, CallerRequest request, EndpointFault fault)
@@ -62,7 +63,7 @@
 		if (this->fault == EndpointFault::EF_LATE) {
 			work = Millis(work.Value() * LATE_FACTOR);
 		}
-		/* The run keeps itself alive: it goes on when the caller has left. */
+		/* The timer holds a reference: the run continues when the caller has disconnected. */
 		this->endpoint.scheduler.After(work, [self = this->shared_from_this()] { self->Finish(); });
 	}
 
@@ -70,11 +71,11 @@
 	void OnCallerWritable() override {}
 
 private:
-	EndpointStandin &endpoint; ///< Whose run it is.
-	CallerSink *sink;          ///< The entry's end, null once it is gone.
+	EndpointStandin &endpoint; ///< Endpoint that runs it.
+	CallerSink *sink;          ///< Caller; null once disconnected.
 	CallerRequest request;     ///< The request.
-	EndpointFault fault;       ///< What goes wrong.
-	int parts_left = 0;        ///< Parts of a stream still to send.
+	EndpointFault fault;       ///< Fault of this request.
+	int parts_left = 0;        ///< Remaining parts of a stream.
 
 	[[nodiscard]] std::string Body() const
 	{
--- a/src/standin/endpoint/endpoint_standin.h
+++ b/src/standin/endpoint/endpoint_standin.h
@@ -1,4 +1,4 @@
-/** @file endpoint_standin.h A small endpoint with slots and fault switches. */
+/** @file endpoint_standin.h A small endpoint with slots and fault injection. */
 #ifndef ENDPOINT_STANDIN_H
 #define ENDPOINT_STANDIN_H
 
@@ -7,20 +7,20 @@
 
 #include <map>
 
-/** What goes wrong with the next requests. */
+/** Fault of the next requests; the numbers are used in POST /fault. */
 enum class EndpointFault : uint8_t {
-	EF_NONE = 0,    ///< Nothing.
-	EF_CLOSE = 1,   ///< Reads the whole request, runs it, closes without an answer.
-	EF_HALF = 2,    ///< Answers half and closes.
-	EF_STALL = 3,   ///< Answers half and stalls.
-	EF_LATE = 4,    ///< Answers after ten times the ordinary time.
+	EF_NONE = 0,    ///< None.
+	EF_CLOSE = 1,   ///< Runs the request and closes without an answer.
+	EF_HALF = 2,    ///< Sends half of the answer and closes.
+	EF_STALL = 3,   ///< Sends half of the answer and stalls.
+	EF_LATE = 4,    ///< Answers after LATE_FACTOR times the ordinary time.
 	EF_ERROR = 5,   ///< Answers 500.
-	EF_NOT_RUN = 6, ///< Answers 503, not run.
+	EF_NOT_RUN = 6, ///< Answers 503 without running the request.
 };
 
 /**
- * Runs up to `slots` requests side by side, each for the ordinary time; refuses more as not run. GET …?stream=N sends
- * N parts. POST /fault?kind=K&count=N sets a fault; GET /runs tells how often each Idempotency-Key or body ran.
+ * Runs up to `slots` requests concurrently, each for the time `work`, and refuses more as not run. GET …?stream=N sends
+ * N parts. POST /fault?kind=K&count=N sets a fault; GET /runs returns how often each Idempotency-Key or body ran.
  */
 class EndpointStandin : public Server, public RequestHandler {
 public:
@@ -31,24 +31,24 @@
 	[[nodiscard]] QJsonObject Dump() const override;
 	std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest request) override;
 
-	/** @return Port that it listens on. */
+	/** @return Listening port. */
 	[[nodiscard]] quint16 Port() const { return this->listener.serverPort(); }
 
 private:
 	friend class EndpointRun;
 
 	Settings settings;                            ///< Settings.
-	QtScheduler scheduler;                        ///< Clock and timers.
-	CallerLimits limits;                          ///< Limits of connections.
-	std::atomic<int> open{0};                     ///< Connections.
-	CallerListener listener;                      ///< Entries connect here.
-	EndpointFault fault = EndpointFault::EF_NONE; ///< What goes wrong.
-	int64_t fault_left = 0;                       ///< Requests that it still hits.
-	int64_t running = 0;                          ///< Requests running.
-	int64_t peak = 0;                             ///< Most that ever ran side by side.
-	int64_t refused = 0;                          ///< Refused as not run.
-	std::map<std::string, int> runs;              ///< Runs by key, or by method, target and body.
-	QObject links;                                ///< Parent of connections: they end before what they use.
+	QtScheduler scheduler;                        ///< Event loop and timers.
+	CallerLimits limits;                          ///< Limits for connections.
+	std::atomic<int> open{0};                     ///< Open connections.
+	CallerListener listener;                      ///< Accepts entries.
+	EndpointFault fault = EndpointFault::EF_NONE; ///< Active fault.
+	int64_t fault_left = 0;                       ///< Remaining requests with the fault.
+	int64_t running = 0;                          ///< Running requests.
+	int64_t peak = 0;                             ///< Maximum of concurrent requests.
+	int64_t refused = 0;                          ///< Requests refused as not run.
+	std::map<std::string, int> runs;              ///< Runs by Idempotency-Key, or by method, target and body.
+	QObject links; ///< Parent of connections; destroyed first, as they use the members above.
 
 	void ServeControl(CallerSink &sink, const CallerRequest &request);
 	[[nodiscard]] EndpointFault NextFault();
--- a/src/standin/endpoint/main.cpp
+++ b/src/standin/endpoint/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp standin_endpoint: a small endpoint with slots and fault switches, for tests, benches and the tour. */
+/** @file main.cpp standin_endpoint: a small endpoint with slots and fault injection for tests, benches and the tour. */
 #include "../../net/caller_link.h"
 #include "../../program/program.h"
 #include "../../program/settings_tables.h"
--- a/src/standin/platform/platform_standin.cpp
+++ b/src/standin/platform/platform_standin.cpp
@@ -1,4 +1,4 @@
-/** @file platform_standin.cpp The platform in small. */
+/** @file platform_standin.cpp A stand-in for the platform. */
 #include "platform_standin.h"
 
 #include "../../request/route_func.h"
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr int STATUS_OK = 200;           ///< HTTP status.
-constexpr int STATUS_NOT_MODIFIED = 304; ///< The list is the one that is known.
-constexpr int STATUS_NOT_FOUND = 404;    ///< No such path, box or job.
-constexpr int STATUS_GONE = 410;         ///< The log has forgotten the offset.
-constexpr int STATUS_THROTTLED = 429;    ///< Append limit reached.
-constexpr int STATUS_DOWN = 503;         ///< Told to be down.
+constexpr int STATUS_OK = 200;           ///< Request served.
+constexpr int STATUS_NOT_MODIFIED = 304; ///< The client has the current list.
+constexpr int STATUS_NOT_FOUND = 404;    ///< Unknown path or box.
+constexpr int STATUS_GONE = 410;         ///< The log no longer has the offset.
+constexpr int STATUS_THROTTLED = 429;    ///< Limit of appends per second reached.
+constexpr int STATUS_DOWN = 503;         ///< Fault "down" is active.
 
 void SendAnswer(CallerSink &sink, int status, const std::string &body)
 {
@@ -52,7 +52,7 @@
 
 } // namespace
 
-/** A read that waits for a record, for a while. */
+/** A read that waits for a record up to a time limit. */
 class WaitingRead : public ServedRequest, public std::enable_shared_from_this<WaitingRead> {
 public:
 	WaitingRead(PlatformStandin &platform, CallerSink &sink, LogOffset from)
@@ -72,7 +72,7 @@
 	void OnCallerDisconnected() override { this->sink = nullptr; }
 	void OnCallerWritable() override {}
 
-	/** Answers with what is there. */
+	/** Answers with the available records. */
 	void Finish()
 	{
 		if (CallerSink *to = std::exchange(this->sink, nullptr); to != nullptr) {
@@ -83,9 +83,9 @@
 	}
 
 private:
-	PlatformStandin &platform; ///< Whose read it is.
-	CallerSink *sink;          ///< The reader's end, null once answered or gone.
-	LogOffset from;            ///< First offset wanted.
+	PlatformStandin &platform; ///< Owner of the log.
+	CallerSink *sink;          ///< Reader; null once answered or disconnected.
+	LogOffset from;            ///< First offset to read.
 };
 
 PlatformStandin::PlatformStandin(const Settings &settings)
--- a/src/standin/platform/platform_standin.h
+++ b/src/standin/platform/platform_standin.h
@@ -1,5 +1,5 @@
-/** @file platform_standin.h The platform in small: a log, a list of boxes, reboots and jobs, each with fault switches.
- */
+/** @file platform_standin.h A stand-in for the platform: log, list of boxes, reboots and jobs, with fault
+ * injection. */
 #ifndef PLATFORM_STANDIN_H
 #define PLATFORM_STANDIN_H
 
@@ -14,19 +14,19 @@
 #include <list>
 #include <map>
 
-/** A box of the platform. */
+/** A box and its reboot. */
 struct StandinBox {
-	ListedBox listed;   ///< As it is listed.
-	PermitId rebooting; ///< Permit of a reboot under way, 0 for none.
+	ListedBox listed;   ///< Its row of the list of boxes.
+	PermitId rebooting; ///< Permit of the reboot in progress, 0 for none.
 };
 
-/** An attempt at a job on a box. */
+/** The latest attempt at a job. */
 struct StandinJob {
-	JobEnd end;          ///< Its name and attempt, and how it ended.
+	JobEnd end;          ///< Name, attempt and outcome.
 	bool running = true; ///< Whether it still runs.
 };
 
-/** A read that waits for a record. */
+/** A long poll of the log. */
 class WaitingRead;
 
 /**
@@ -48,16 +48,16 @@
 	friend class WaitingRead;
 
 	Settings settings;                           ///< Settings.
-	QtScheduler scheduler;                       ///< Clock and timers.
-	CallerLimits limits;                         ///< Limits of connections.
-	std::atomic<int> open{0};                    ///< Connections.
-	CallerListener listener;                     ///< Clients connect here.
+	QtScheduler scheduler;                       ///< Event loop and timers.
+	CallerLimits limits;                         ///< Limits for connections.
+	std::atomic<int> open{0};                    ///< Open connections.
+	CallerListener listener;                     ///< Accepts clients.
 	LogStore store;                              ///< The log.
-	LogFaults faults;                            ///< Faults in force.
-	std::map<BoxName, StandinBox> boxes;         ///< The boxes.
-	std::map<JobName, StandinJob> jobs;          ///< The newest attempt at each job.
-	std::list<std::weak_ptr<WaitingRead>> reads; ///< Reads that wait.
-	QObject links;                               ///< Parent of connections: they end before what they use.
+	LogFaults faults;                            ///< Active faults.
+	std::map<BoxName, StandinBox> boxes;         ///< Boxes by name.
+	std::map<JobName, StandinJob> jobs;          ///< Latest attempt at each job.
+	std::list<std::weak_ptr<WaitingRead>> reads; ///< Waiting reads.
+	QObject links; ///< Parent of connections; destroyed first, as they use the members above.
 
 	void ServeBoxesAndJobs(CallerSink &sink, const CallerRequest &request, const QUrlQuery &query,
 						   const std::string &path);
