--- a/src/standin/platform/main.cpp
+++ b/src/standin/platform/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp standin_platform: a small substitute of the platform for tests, benches and the tour. */
+/** @file main.cpp standin_platform: a stand-in for the platform, for tests, benches and the tour. */
 #include "../../program/settings_tables.h"
 #include "platform_standin.h"
 
--- a/tests/owner/main.cpp
+++ b/tests/owner/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp glade_owner_bench: what the owner of a queue spends on each run, over real sockets on loopback. */
+/** @file main.cpp glade_owner_bench: processor time that the owner of a queue spends per run, over loopback sockets. */
 #include "../../platform/box_client.h"
 #include "bench/bench_output.h"
 #include "jobs/shard_base.h"
@@ -21,25 +21,25 @@
 
 Options:
   --boxes N    Boxes of the queue [default: 600].
-  --rate N     Tasks handed in a second [default: 3800].
-  --seconds N  Time measured, after a warm-up [default: 5].
+  --rate N     Tasks submitted per second [default: 3800].
+  --seconds N  Measured time, after a warm-up [default: 5].
   -h --help    Show this.
 )";
 
-constexpr Millis WARM_UP(3000);             ///< Until the queue has as much work as it will have.
-constexpr Millis RUN_TIME(1000);            ///< Time that a task takes.
-constexpr Millis APPEND_TIME(8);            ///< Time that an append takes.
-constexpr Millis SUBMIT_INTERVAL(10);       ///< Jobs are handed in so often.
-constexpr Resources ROOM{16000, 65536, 0};  ///< What a box has.
-constexpr Resources DEMAND{2200, 6400, 0};  ///< What a task takes on average.
-constexpr int64_t DEMAND_SPREAD = 1000;     ///< Thousandths of a core around it, both ways.
-constexpr uint32_t STEP_TASKS_MIN = 3;      ///< Tasks of a step, at least
-constexpr uint32_t STEP_TASKS_MAX = 13;     ///< and at most.
-constexpr double MEAN_STEPS = 1.6;          ///< Steps of a job on average: one or two.
+constexpr Millis WARM_UP(3000);             ///< Time until the number of tasks in the queue is stable.
+constexpr Millis RUN_TIME(1000);            ///< Run time of a task.
+constexpr Millis APPEND_TIME(8);            ///< Time of an append to the log.
+constexpr Millis SUBMIT_INTERVAL(10);       ///< Interval of submissions.
+constexpr Resources ROOM{16000, 65536, 0};  ///< Capacity of a box.
+constexpr Resources DEMAND{2200, 6400, 0};  ///< Mean demand of a task.
+constexpr int64_t DEMAND_SPREAD = 1000;     ///< Largest deviation from the mean, in thousandths of a core.
+constexpr uint32_t STEP_TASKS_MIN = 3;      ///< Least number of tasks of a step.
+constexpr uint32_t STEP_TASKS_MAX = 13;     ///< Largest number of tasks of a step.
+constexpr double MEAN_STEPS = 1.6;          ///< Mean number of steps of a job, which has one or two.
 constexpr double NS_PER_US = 1000;          ///< Nanoseconds in a microsecond.
 constexpr double US_PER_SECOND = 1000000;   ///< Microseconds in a second.
-const ServiceName SERVICE("calc");          ///< The service.
-const PartitionId PROGRESS{"jobs.calc", 0}; ///< Where its owner records.
+const ServiceName SERVICE("calc");          ///< Service of the queue.
+const PartitionId PROGRESS{"jobs.calc", 0}; ///< Partition of the owner's records.
 
 /** @return Processor time of this thread in microseconds. */
 double ThreadMicros()
@@ -49,7 +49,7 @@
 	return static_cast<double>(now.tv_sec) * US_PER_SECOND + static_cast<double>(now.tv_nsec) / NS_PER_US;
 }
 
-/** A log that takes every append. */
+/** A log that accepts every append and stores nothing. */
 class AcceptingLog : public KeyedLog {
 public:
 	explicit AcceptingLog(Scheduler &scheduler) : scheduler(scheduler) {}
@@ -69,10 +69,10 @@
 	void Holders(const std::string &, std::function<void(ResultCode, std::vector<PartitionHolder>)>) override {}
 
 private:
-	Scheduler &scheduler; ///< Clock.
+	Scheduler &scheduler; ///< Event loop.
 };
 
-/** An owner with its boxes, and callers who hand jobs in. */
+/** An owner with its boxes and a steady rate of submissions. */
 class OwnerBench {
 public:
 	OwnerBench(size_t boxes, int64_t rate)
@@ -99,7 +99,8 @@
 		this->SubmitJobs();
 	}
 
-	/** Prints what the time after the warm-up has cost. @param boxes For the lines. @param span That time. */
+	/** Measures after a warm-up and prints the figures. @param boxes Number of boxes, for the output. @param span
+	 * Measured time. */
 	void Measure(size_t boxes, Millis span)
 	{
 		this->RunFor(WARM_UP);
@@ -124,18 +125,18 @@
 	}
 
 private:
-	QtScheduler scheduler;  ///< Clock of this thread.
-	SimulatedAgents agents; ///< The boxes.
-	AcceptingLog log;       ///< The log.
-	NullEventLog events;    ///< Lines.
-	HttpCaller caller;      ///< Connections.
-	BoxClient orders;       ///< Orders to the boxes.
-	PairedJournal journal;  ///< Records.
-	Shard shard;            ///< What is measured.
-	int64_t rate;           ///< Tasks handed in a second.
-	std::mt19937 random{1}; ///< Chooses sizes.
-	uint64_t jobs = 0;      ///< Jobs handed in.
-	double tasks_due = 0;   ///< Tasks that should have been handed in by now, and weren't.
+	QtScheduler scheduler;  ///< Event loop of this thread.
+	SimulatedAgents agents; ///< Simulated boxes.
+	AcceptingLog log;       ///< Log of the journal.
+	NullEventLog events;    ///< Drops log events.
+	HttpCaller caller;      ///< Connections to the boxes.
+	BoxClient orders;       ///< Sends orders to the boxes.
+	PairedJournal journal;  ///< Journal of the owner.
+	Shard shard;            ///< The measured owner.
+	int64_t rate;           ///< Tasks submitted per second.
+	std::mt19937 random{1}; ///< Chooses sizes of jobs and demands.
+	uint64_t jobs = 0;      ///< Submitted jobs.
+	double tasks_due = 0;   ///< Tasks that are due for submission.
 
 	void RunFor(Millis span)
 	{
@@ -178,7 +179,7 @@
 			const JobId id = job.id;
 			this->shard.Accept(IncomingRecord{KeyedRecord{'j' + id.Value(), EncodeSubmission(job)}, job,
 											  InboxKey{id, AccountName(), false},
-											  [](ResultCode) { /* Nobody waits. */ }});
+											  [](ResultCode) { /* No caller waits for the answer. */ }});
 		}
 		this->scheduler.After(SUBMIT_INTERVAL, [this] { this->SubmitJobs(); });
 	}
--- a/tests/owner/simulated_agents.cpp
+++ b/tests/owner/simulated_agents.cpp
@@ -1,4 +1,4 @@
-/** @file simulated_agents.cpp Agents of many boxes over real sockets. */
+/** @file simulated_agents.cpp Simulated agents of many boxes. */
 #include "simulated_agents.h"
 
 #include <rapidjson/document.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr size_t BOXES_PER_SUBNET = 200; ///< Boxes whose addresses differ in the last part only.
+constexpr size_t BOXES_PER_SUBNET = 200; ///< Boxes whose addresses differ only in the last byte.
 
 std::string IncarnationIdOf(size_t n)
 {
@@ -35,7 +35,7 @@
 	void OnCallerDisconnected() override { this->sink = nullptr; }
 	void OnCallerWritable() override {}
 
-	/** Answers, unless that was done or the owner has left. @param body The body. */
+	/** Answers once, unless the owner has disconnected. @param body Body, JSON. */
 	void Finish(const std::string &body)
 	{
 		if (CallerSink *to = std::exchange(this->sink, nullptr); to != nullptr) {
@@ -44,7 +44,7 @@
 	}
 
 private:
-	CallerSink *sink; ///< The owner's end; null once answered or gone.
+	CallerSink *sink; ///< The owner; null once answered or disconnected.
 };
 
 SimulatedAgents::SimulatedAgents(size_t boxes, Millis run_time) : boxes(boxes), run_time(run_time)
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp glade_soak: node processes under random faults from outside, on loopback. */
+/** @file main.cpp glade_soak: a randomized fault-injection test of node processes on loopback. */
 #include "soak_world.h"
 
 #include "program/program.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr const char *USAGE = R"(glade_soak: runs glade_node processes under random faults and checks what must hold.
+constexpr const char *USAGE = R"(glade_soak: runs glade_node processes under random faults and checks invariants.
 
 Usage:
   glade_soak --node PROGRAM --folder FOLDER [--seed N] [--seconds N] [--nodes N] [--boxes N] [--jobs N] [--port N] [--calm]
@@ -18,15 +18,15 @@
   glade_soak --version
 
 Options:
-  --node PROGRAM   The glade_node to run.
-  --folder FOLDER  Settings and logs of the nodes; made if it is missing.
-  --seed N         Chooses jobs and faults [default: 1].
-  --seconds N      Time with faults [default: 20].
+  --node PROGRAM   Path of glade_node.
+  --folder FOLDER  Settings and logs of the nodes; created if missing.
+  --seed N         Seed for jobs and faults [default: 1].
+  --seconds N      Duration of the faults [default: 20].
   --nodes N        Node processes [default: 4].
   --boxes N        Boxes of each of the two services [default: 6].
-  --jobs N         Jobs a second [default: 6].
+  --jobs N         Jobs per second [default: 6].
   --port N         First port of the nodes; each takes four [default: 21000].
-  --calm           No faults: for measuring.
+  --calm           Inject no faults, for measurements.
   -h --help        Show this.
   --version        Show the version.
 )";
@@ -54,7 +54,7 @@
 	std::filesystem::create_directories(options.folder);
 	SoakWorld world(options);
 	if (!world.Start([] { QCoreApplication::exit(0); })) {
-		std::cerr << "the stand-ins can't listen\n";
+		std::cerr << "the servers of the soak test can't listen\n";
 		return static_cast<int>(ExitCode::EC_ADDRESS);
 	}
 	QCoreApplication::exec();
--- a/tests/soak/soak_boxes.cpp
+++ b/tests/soak/soak_boxes.cpp
@@ -1,4 +1,4 @@
-/** @file soak_boxes.cpp Agents of boxes and control of machines over HTTP. */
+/** @file soak_boxes.cpp Box agents and control of machines over HTTP. */
 #include "soak_boxes.h"
 
 #include "../../platform/box_words.h"
@@ -14,12 +14,12 @@
 	return QString::fromUtf8(text.data(), static_cast<qsizetype>(text.size()));
 }
 
-constexpr Millis POLL_INTERVAL(10);      ///< A waiting answer looks for an end so often.
-constexpr Millis LATE_DELAY(2500);       ///< An order that is done late comes after this.
-constexpr Millis MAINTENANCE_TIME(600);  ///< A box that is maintained is away for so long.
-constexpr int PERCENT = 100;             ///< Percent.
-constexpr double SLOW_CLOCK_RATE = 0.98; ///< Rate of the clock of every second box.
-constexpr size_t SLOW_CLOCK_ONE_IN = 2;  ///< See SLOW_CLOCK_RATE.
+constexpr Millis POLL_INTERVAL(10);      ///< Interval at which a waiting lease order checks for ends.
+constexpr Millis LATE_DELAY(2500);       ///< Delay of an order that is executed late.
+constexpr Millis MAINTENANCE_TIME(600);  ///< Time from a box's restart for maintenance to its new report.
+constexpr int PERCENT = 100;             ///< Scale of percentages.
+constexpr double SLOW_CLOCK_RATE = 0.98; ///< Clock rate of slow boxes: box clocks drift apart.
+constexpr size_t SLOW_CLOCK_ONE_IN = 2;  ///< One box of this many has a slow clock.
 
 double ClockRate(const BoxReport &box)
 {
@@ -126,7 +126,7 @@
 	if (!answer->IsPending()) {
 		return;
 	}
-	/* An answer that waits is gone with the life that took the call. */
+	/* A waiting call is lost when the box restarts. */
 	if (this->site.Down(box.box) || this->site.IncarnationOf(box.box) != box.incarnation) {
 		answer->Disconnect();
 		return;
@@ -164,7 +164,7 @@
 		return;
 	}
 	if (PathOf(request.target) != "/v1/machines") {
-		answer->Answer(400, std::string("{}")); /* Boxes of this site don't move. */
+		answer->Answer(400, std::string("{}")); /* Moves of boxes are not supported. */
 		return;
 	}
 	QJsonArray rows;
--- a/tests/soak/soak_boxes.h
+++ b/tests/soak/soak_boxes.h
@@ -1,4 +1,5 @@
-/** @file soak_boxes.h Agents of boxes and control of machines over HTTP: the state machine is the one of the tests. */
+/** @file soak_boxes.h Serves box agents and the control of machines over HTTP, on the state machine of the unit tests.
+ */
 #ifndef SOAK_BOXES_H
 #define SOAK_BOXES_H
 
@@ -7,35 +8,35 @@
 
 #include <random>
 
-/** What goes wrong with orders to a box. */
+/** Faults of starts and stops sent to a box. */
 struct SoakBoxFaults {
-	int lose_percent = 0; ///< So many of 100 orders are done, and their connection is cut without an answer.
-	bool late = false;    ///< Those are done 2.5 s later instead of at once.
+	int lose_percent = 0; ///< Percentage executed, but disconnected without an answer.
+	bool late = false;    ///< Executes those orders after LATE_DELAY.
 };
 
-/** The boxes' server: one port for all, told apart by the life that a call names. */
+/** Server of all boxes on one port; the incarnation named in a call selects the box. */
 class SoakBoxes {
 public:
-	/** @param scheduler Clock. @param seed For which orders are lost. */
+	/** @param scheduler Event loop. @param seed Seed for the choice of lost orders. */
 	SoakBoxes(QtScheduler &scheduler, uint32_t seed);
 
-	/** @return Whether both ports listen. */
+	/** Opens both ports. @return Whether they listen. */
 	bool Start() { return this->agents.Listen() && this->control.Listen(); }
-	/** @return Port of the boxes' agents. */
+	/** @return Port of the box agents. */
 	[[nodiscard]] quint16 AgentPort() const { return this->agents.Port(); }
 	/** @return Port of the control of machines. */
 	[[nodiscard]] quint16 ControlPort() const { return this->control.Port(); }
 
-	BoxSite site;                            ///< The state.
+	BoxSite site;                            ///< State of the boxes.
 	std::map<BoxName, SoakBoxFaults> faults; ///< Faults by box.
-	std::function<void()> on_restart;        ///< Told when a box has another life.
+	std::function<void()> on_restart;        ///< Called when a box has restarted for maintenance.
 
 private:
-	QtScheduler &scheduler;                 ///< Clock.
-	std::minstd_rand random;                ///< Which orders are lost.
-	SoakListener agents;                    ///< Port of the agents.
-	SoakListener control;                   ///< Port of the control of machines.
-	std::map<std::string, uint64_t> fences; ///< Highest fence of each machine.
+	QtScheduler &scheduler;                 ///< Event loop.
+	std::minstd_rand random;                ///< Chooses lost orders.
+	SoakListener agents;                    ///< Serves the agents.
+	SoakListener control;                   ///< Serves the control of machines.
+	std::map<std::string, uint64_t> fences; ///< Highest fence token by machine.
 
 	using Work = std::function<QJsonObject(const BoxReport &, int &status)>;
 
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -1,4 +1,4 @@
-/** @file soak_callers.cpp The soak's callers: they hand jobs in, ask, cancel, and hold the nodes to their word. */
+/** @file soak_callers.cpp Callers of the soak test: they submit, query and cancel jobs and check the answers. */
 #include "soak_world.h"
 
 #include <QJsonArray>
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr Millis CALL_TIMEOUT(3000);      ///< Callers wait so long for an answer.
-constexpr Millis CALL_TIMEOUT_SLACK(400); ///< Beyond it, a connection that ends is the caller's own doing.
-constexpr Millis RETRY_DELAY(300);        ///< Before a caller tries again.
-constexpr Millis VISIBILITY_DELAY(3000);  ///< An accepted job must be known from then on.
-constexpr int MAX_ATTEMPTS = 8;           ///< Times that a caller hands a job in.
-constexpr uint32_t LASTING_ONE_IN = 8;    ///< One job of so many lasts.
-constexpr uint32_t FAILING_ONE_IN = 20;   ///< One job of so many can't be done.
-constexpr size_t CRASHING_ONE_IN = 17;    ///< One job of so many, unless it lasts, crashes the boxes that start it.
-constexpr uint32_t CANCELLED_ONE_IN = 10; ///< One job of so many is cancelled.
+constexpr Millis CALL_TIMEOUT(3000);      ///< Time that a caller waits for an answer; sent as the deadline.
+constexpr Millis CALL_TIMEOUT_SLACK(400); ///< Added to CALL_TIMEOUT before the caller closes the connection.
+constexpr Millis RETRY_DELAY(300);        ///< Time until a caller retries.
+constexpr Millis VISIBILITY_DELAY(3000);  ///< Time after which every node must know an accepted job.
+constexpr int MAX_ATTEMPTS = 8;           ///< Maximum number of submissions of a job.
+constexpr uint32_t LASTING_ONE_IN = 8;    ///< One job of this many is long-running.
+constexpr uint32_t FAILING_ONE_IN = 20;   ///< One job of this many always fails.
+constexpr size_t CRASHING_ONE_IN = 17;    ///< One job of this many crashes its boxes, unless it is long-running.
+constexpr uint32_t CANCELLED_ONE_IN = 10; ///< One job of this many is cancelled.
 
 QJsonObject StepJson(const StepSpec &step)
 {
@@ -126,14 +126,14 @@
 				constexpr int STATUS_UNAUTHORIZED = 401;
 				if (reply.result == CallResult::CR_ANSWERED && reply.status == STATUS_UNAUTHORIZED &&
 					std::ranges::find(this->keys, key) != this->keys.end()) {
-					this->failures.push_back(std::string("a good key was refused by ") + node.Address() + ": " +
+					this->failures.push_back(std::string("a valid key was refused by ") + node.Address() + ": " +
 											 method + " " + path);
 				}
 				const bool cut = reply.result == CallResult::CR_UNKNOWN && this->scheduler.Now() - sent < CALL_TIMEOUT;
-				/* Over a connection that stood, or a new one: read whole, or not at all; but not cut while it is
-				 * served. */
+				/* During a planned stop a request, on an open or a new connection, is served whole or not read at
+				 * all. It must not be cut off while it is served. */
 				if (cut && stopping && node.InUndisturbedStop() && this->active_store_faults == 0) {
-					this->failures.push_back(std::string("a planned stop of ") + node.Address() + " cut " + method +
+					this->failures.push_back(std::string("a planned stop of ") + node.Address() + " cut off " + method +
 											 " " + path);
 				}
 				then(reply);
@@ -196,7 +196,7 @@
 					   job.state = JsonOf(reply.body)["state"].toString().toStdString();
 				   } else if (reply.status == 410 && job.accepted_at &&
 							  this->scheduler.Now() - *job.accepted_at >= VISIBILITY_DELAY) {
-					   this->failures.push_back("an accepted job is not known: " + job.spec.id.Value());
+					   this->failures.push_back("an accepted job is unknown: " + job.spec.id.Value());
 				   }
 			   });
 }
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -1,12 +1,12 @@
-/** @file soak_faults.cpp The faults that a soak injects. */
+/** @file soak_faults.cpp Faults that the soak test injects. */
 #include "soak_world.h"
 
 #include <array>
 
 namespace {
 
-constexpr int LOSE_PERCENT = 30;          ///< Of appends or orders, while answers are lost.
-constexpr Millis SLOW_STORE_LATENCY(300); ///< Added to each answer of a slow store.
+constexpr int LOSE_PERCENT = 30;          ///< Percentage of appends or orders whose answers are lost.
+constexpr Millis SLOW_STORE_LATENCY(300); ///< Added latency of a slow store.
 
 } // namespace
 
@@ -25,7 +25,7 @@
 
 PartitionId SoakWorld::RandomPartition()
 {
-	/* Those that owners record in: a queue's or the fleet's, main or spare. */
+	/* A partition in which owners record: of a queue or of the fleet, main or spare. */
 	const std::array topics = {"keyed.jobs.calc", "keyed.jobs.grid", "keyed.fleet"};
 	const char *topic = topics[this->RandomBelow(topics.size())];
 	return PartitionId{topic, this->RandomBelow(2)};
@@ -97,7 +97,7 @@
 			 }},
 			{"open_silent",
 			 [this, nothing] {
-				 /* All connections of all nodes, or one node's to the store, or those to one box. */
+				 /* The connections to the store of all nodes or of one, or the connections to one box. */
 				 const uint32_t what = this->RandomBelow(3);
 				 if (what == 2) {
 					 this->box_proxies[this->RandomBelow(static_cast<uint32_t>(this->box_proxies.size()))]
--- a/tests/soak/soak_http.cpp
+++ b/tests/soak/soak_http.cpp
@@ -1,4 +1,4 @@
-/** @file soak_http.cpp Small HTTP answers and listeners of the soak's stand-ins. */
+/** @file soak_http.cpp HTTP listener and deferred answers for the servers of the soak test. */
 #include "soak_http.h"
 
 #include <QJsonDocument>
--- a/tests/soak/soak_http.h
+++ b/tests/soak/soak_http.h
@@ -1,4 +1,4 @@
-/** @file soak_http.h Small HTTP answers and listeners of the soak's stand-ins. */
+/** @file soak_http.h HTTP listener and deferred answers for the servers of the soak test. */
 #ifndef SOAK_HTTP_H
 #define SOAK_HTTP_H
 
@@ -7,7 +7,7 @@
 #include <QJsonObject>
 #include <QUrlQuery>
 
-/** A request that is answered later, unless its caller leaves. */
+/** A request that may be answered later; the answer is dropped when the caller has disconnected. */
 class DeferredAnswer : public ServedRequest {
 public:
 	explicit DeferredAnswer(CallerSink &sink) : sink(&sink) {}
@@ -15,50 +15,50 @@
 	void OnCallerDisconnected() override { this->sink = nullptr; }
 	void OnCallerWritable() override {}
 
-	/** Answers. @param status HTTP status. @param body The body. */
+	/** Answers once. @param status HTTP status. @param body Body. */
 	void Answer(int status, const std::string &body);
-	/** Answers with JSON. @param status HTTP status. @param json The body. */
+	/** Answers once with JSON. @param status HTTP status. @param json Body. */
 	void Answer(int status, const QJsonObject &json);
-	/** Cuts the connection. */
+	/** Closes the connection without an answer. */
 	void Disconnect();
 
-	/** @return Whether the caller still waits. */
+	/** @return Whether the request is unanswered and its caller connected. */
 	[[nodiscard]] bool IsPending() const { return this->sink != nullptr; }
 
 private:
-	CallerSink *sink; ///< The caller's end; null once answered or gone.
+	CallerSink *sink; ///< Caller; null once answered or disconnected.
 };
 
 using DeferredAnswerPtr = std::shared_ptr<DeferredAnswer>;
 
-/** Serves each request by a function, on a port of its own. */
+/** Listens on a port and passes each request to a function. */
 class SoakListener : public RequestHandler {
 public:
 	using ServeFunction = std::function<void(const DeferredAnswerPtr &, const CallerRequest &)>;
 
-	/** @param scheduler Clock. @param serve Serves a request, now or later. */
+	/** @param scheduler Event loop. @param serve Serves a request, at once or later. */
 	SoakListener(QtScheduler &scheduler, ServeFunction serve);
 
-	/** Listens on a port that is free. @return Whether it does. */
+	/** Listens on a free loopback port. @return Whether it succeeded. */
 	bool Listen();
-	/** @return Its port. */
+	/** @return The listening port. */
 	[[nodiscard]] quint16 Port() const { return this->listener.serverPort(); }
 	std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest request) override;
 
 private:
-	ServeFunction serve;      ///< Serves a request.
-	CallerLimits limits;      ///< Of connections.
-	std::atomic<int> open{0}; ///< Connections.
-	CallerListener listener;  ///< Accepts.
+	ServeFunction serve;      ///< Request handler.
+	CallerLimits limits;      ///< Limits for connections.
+	std::atomic<int> open{0}; ///< Open connections.
+	CallerListener listener;  ///< Accepts connections.
 };
 
 /** @return The query of a target. @param target Path and query. */
 QUrlQuery QueryOf(const std::string &target);
 /** @return The path of a target. @param target Path and query. */
 std::string PathOf(const std::string &target);
-/** @return A body as JSON. @param body The body. */
+/** @return The JSON object in a body, empty if there is none. @param body The body. */
 QJsonObject JsonOf(const std::string &body);
-/** @return JSON as a body. @param json The JSON. */
+/** @return A JSON object as a body. @param json The object. */
 std::string BodyOf(const QJsonObject &json);
 
 #endif /* SOAK_HTTP_H */
--- a/tests/soak/soak_node.cpp
+++ b/tests/soak/soak_node.cpp
@@ -1,4 +1,4 @@
-/** @file soak_node.cpp A node process of the soak. */
+/** @file soak_node.cpp A node process of the soak test. */
 #include "soak_node.h"
 
 #include <csignal>
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr quint16 PORTS_PER_NODE = 4; ///< Callers, balancer, other nodes, metrics.
-constexpr Millis RESTART_DELAY(200);  ///< A process that ended starts again after this.
+constexpr quint16 PORTS_PER_NODE = 4; ///< Ports for callers, load balancer, other nodes and metrics.
+constexpr Millis RESTART_DELAY(200);  ///< Time from an exit to the restart.
 
 } // namespace
 
--- a/tests/soak/soak_node.h
+++ b/tests/soak/soak_node.h
@@ -1,4 +1,4 @@
-/** @file soak_node.h A node process of the soak, with its own way to the store. */
+/** @file soak_node.h A node process of the soak test, with its own proxy to the store. */
 #ifndef SOAK_NODE_H
 #define SOAK_NODE_H
 
@@ -6,20 +6,21 @@
 
 #include <QProcess>
 
-/** Where the processes of a soak are and what they speak to. */
+/** Paths and ports for the node processes of a soak test. */
 struct SoakEnvironment {
-	std::string program;     ///< glade_node.
-	std::string folder;      ///< Settings and logs.
-	quint16 first_port = 0;  ///< Each node takes some from here on.
+	std::string program;     ///< Path of glade_node.
+	std::string folder;      ///< Folder for settings and logs.
+	quint16 first_port = 0;  ///< First port of the nodes; each takes PORTS_PER_NODE.
 	quint16 store = 0;       ///< Port of the store.
 	quint16 machines = 0;    ///< Port of the control of machines.
-	uint32_t partitions = 0; ///< Of a topic.
+	uint32_t partitions = 0; ///< Partitions of each topic.
 };
 
-/** A node process; started again whenever it ends, until Finish(). */
+/** A node process, which is restarted whenever it exits, until Finish(). */
 class SoakNode {
 public:
-	/** @param scheduler Clock. @param site What it speaks to. @param number Which node. @param cpu Cores, as a text. */
+	/** @param scheduler Event loop. @param site Paths and ports. @param number Number of the node. @param cpu Setting
+	 * "cpu": cores. */
 	SoakNode(QtScheduler &scheduler, const SoakEnvironment &site, int number, const std::string &cpu);
 	~SoakNode();
 	SoakNode(const SoakNode &) = delete;
@@ -27,44 +28,44 @@
 
 	/** Starts the process. */
 	void Start();
-	/** Kills it; it starts again after a pause. @param pause The pause. */
+	/** Kills the process. @param pause Time until it is restarted. */
 	void Kill(Millis pause);
-	/** Asks for a planned stop; it starts again once it has ended. */
+	/** Requests a planned stop; the process is restarted after it. */
 	void Stop();
-	/** Stands still for a while. @param span How long. */
+	/** Stops the process with SIGSTOP for a while. @param span Time until it continues. */
 	void Freeze(Millis span);
-	/** Says that the settings have changed. */
+	/** Makes the process reload its settings. */
 	void Reload();
-	/** Asks for a planned stop for good. */
+	/** Requests a planned stop without a restart. */
 	void Finish();
 
-	/** @return Where callers connect, IP:port. */
+	/** @return Address for callers, IP:port. */
 	[[nodiscard]] std::string Address() const { return this->address; }
-	/** @return Whether it is in a planned stop, and nothing else was done to it since it started. */
+	/** @return Whether it is in a planned stop, and no fault has hit it since its start. */
 	[[nodiscard]] bool InUndisturbedStop() const { return this->stopping && !this->faulted; }
-	/** @return Whether it runs and nothing is being done to it. */
+	/** @return Whether it runs and is neither stopping, killed nor frozen. */
 	[[nodiscard]] bool IsHealthy() const;
-	/** @return Whether it has ended for good. */
+	/** @return Whether the process is not running. */
 	[[nodiscard]] bool HasExited() const { return this->process.state() == QProcess::NotRunning; }
-	/** Something was done to its way to the store, or to the store. */
+	/** Notes a fault of the store or of the connection to it. */
 	void MarkFaulted() { this->faulted = true; }
 
-	SoakProxy proxy;             ///< Its way to the store.
-	std::string unexpected_exit; ///< How it ended when nobody asked for it; empty if it didn't.
+	SoakProxy proxy;             ///< Its connection to the store.
+	std::string unexpected_exit; ///< Description of an unrequested exit; empty for none.
 
 private:
-	QtScheduler &scheduler; ///< Clock.
-	SoakEnvironment site;   ///< What it speaks to.
-	std::string name;       ///< Its name.
-	std::string address;    ///< Where callers connect.
-	std::string file;       ///< Its settings.
+	QtScheduler &scheduler; ///< Event loop.
+	SoakEnvironment site;   ///< Paths and ports.
+	std::string name;       ///< Name of the node.
+	std::string address;    ///< Address for callers.
+	std::string file;       ///< Path of its settings file.
 	QProcess process;       ///< The process.
-	Millis pause;           ///< Before it starts again.
-	bool stopping = false;  ///< Whether a planned stop is under way.
+	Millis pause;           ///< Time until the next restart.
+	bool stopping = false;  ///< Whether a planned stop was requested.
 	bool killed = false;    ///< Whether it was killed.
-	bool frozen = false;    ///< Whether it stands still.
-	bool faulted = false;   ///< Whether anything but a planned stop was done to it since it started.
-	bool finishing = false; ///< Whether it ends for good.
+	bool frozen = false;    ///< Whether it is stopped by SIGSTOP.
+	bool faulted = false;   ///< Whether a fault has hit it since its start.
+	bool finishing = false; ///< Whether it is not to be restarted.
 
 	void OnEnded(int code, QProcess::ExitStatus status);
 	void Signal(int number);
--- a/tests/soak/soak_proxy.cpp
+++ b/tests/soak/soak_proxy.cpp
@@ -1,25 +1,25 @@
-/** @file soak_proxy.cpp A loopback proxy with faults. */
+/** @file soak_proxy.cpp A loopback TCP proxy with fault injection. */
 #include "soak_proxy.h"
 
 #include <QHostAddress>
 
 namespace {
 
-constexpr Millis PROXY_DELAY(150); ///< Of bytes under PF_DELAY.
+constexpr Millis PROXY_DELAY(150); ///< Delay of bytes under PF_DELAY.
 
 } // namespace
 
 struct SoakProxy::Pair {
-	QTcpSocket caller;     ///< Who connected.
-	QTcpSocket server;     ///< Where it goes.
-	bool silenced = false; ///< Whether it says nothing any more, whatever is healed.
+	QTcpSocket caller;     ///< Side of the client.
+	QTcpSocket server;     ///< Side of the server.
+	bool silenced = false; ///< Whether all bytes are dropped for the rest of the connection.
 };
 
 void SoakProxy::Set(ProxyFault now)
 {
 	this->fault = now;
 	const bool heals = now == ProxyFault::PF_NONE;
-	/* What was held is lost: connections that stood during a cut can't go on after it. */
+	/* Bytes were dropped during the fault, so connections that were open then can't continue. */
 	if (now == ProxyFault::PF_RESET || heals) {
 		const auto all = this->pairs;
 		for (const auto &it : all) {
@@ -99,6 +99,6 @@
 			it->disconnectFromHost();
 		}
 	}
-	/* Not from inside a signal of its sockets. */
+	/* The sockets must not be destroyed inside one of their signals. */
 	this->scheduler.After(Millis(100), [pair] {});
 }
--- a/tests/soak/soak_store.cpp
+++ b/tests/soak/soak_store.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr Millis POLL_INTERVAL(10); ///< A waiting read looks so often.
-constexpr Millis LATE_DELAY(2500);  ///< An append that is done late comes after this.
-constexpr size_t OFFSET_BYTES = 8;  ///< Two offsets come before the records of an answer.
-constexpr int PERCENT = 100;        ///< Percent.
+constexpr Millis POLL_INTERVAL(10); ///< Interval at which a waiting read checks for records.
+constexpr Millis LATE_DELAY(2500);  ///< Delay of an append that is executed late.
+constexpr size_t OFFSET_BYTES = 8;  ///< Size of each of the two offsets at the start of a read's answer.
+constexpr int PERCENT = 100;        ///< Scale of percentages.
 
 PartitionId PartitionOf(const QUrlQuery &query)
 {
@@ -62,7 +62,7 @@
 	const std::string path = PathOf(request.target);
 	const QUrlQuery query = QueryOf(request.target);
 	if (this->faults.silent_partitions.contains(PartitionOf(query))) {
-		return; /* Calls about groups name no partition. */
+		return; /* Calls about groups name no partition, so they are never silenced. */
 	}
 	if (path == "/v1/log-append") {
 		this->Append(answer, request);
--- a/tests/soak/soak_store.h
+++ b/tests/soak/soak_store.h
@@ -1,4 +1,4 @@
-/** @file soak_store.h The platform's keyed log over HTTP: the state machine is the one of the tests in memory. */
+/** @file soak_store.h Serves the platform's keyed log over HTTP, on the state machine of the unit tests. */
 #ifndef SOAK_STORE_H
 #define SOAK_STORE_H
 
@@ -7,33 +7,34 @@
 
 #include <set>
 
-/** What goes wrong with calls to the store. */
+/** Faults of calls to the store. */
 struct SoakStoreFaults {
-	bool unavailable = false; ///< Every call gets 503; nothing is done.
-	int lose_percent = 0;     ///< So many of 100 appends are done, and their connection is cut without an answer.
-	bool late = false;        ///< Those are done 2.5 s later instead of at once.
-	std::set<PartitionId> silent_partitions; ///< Calls to these partitions get no answer; nothing is done.
-	Millis added_latency;                    ///< Answers take so much longer.
+	bool unavailable = false;                ///< Answers every call with 503; executes none.
+	int lose_percent = 0;                    ///< Percentage of appends executed, but disconnected without an answer.
+	bool late = false;                       ///< Executes those appends after LATE_DELAY.
+	std::set<PartitionId> silent_partitions; ///< Partitions whose calls get no answer and are not executed.
+	Millis added_latency;                    ///< Added to the time of each answer.
 };
 
-/** The store's server. */
+/** Server of the store. */
 class SoakStore {
 public:
-	/** @param scheduler Clock. @param parts Partitions of a topic. @param seed For which appends are lost. */
+	/** @param scheduler Event loop. @param parts Partitions of each topic. @param seed Seed for the choice of lost
+	 * appends. */
 	SoakStore(QtScheduler &scheduler, uint32_t parts, uint32_t seed);
 
-	/** @return Whether it listens. */
+	/** Opens the port. @return Whether it listens. */
 	bool Start() { return this->listener.Listen(); }
-	/** @return Its port. */
+	/** @return The listening port. */
 	[[nodiscard]] quint16 Port() const { return this->listener.Port(); }
 
-	KeyedStore store;       ///< The state.
-	SoakStoreFaults faults; ///< Faults in force.
+	KeyedStore store;       ///< State of the store.
+	SoakStoreFaults faults; ///< Active faults.
 
 private:
-	QtScheduler &scheduler; ///< Clock.
-	uint32_t random;        ///< State of the choice which appends are lost.
-	SoakListener listener;  ///< Its port.
+	QtScheduler &scheduler; ///< Event loop.
+	uint32_t random;        ///< State of the generator that chooses lost appends.
+	SoakListener listener;  ///< Accepts calls.
 
 	void Serve(const DeferredAnswerPtr &answer, const CallerRequest &request);
 	void Append(const DeferredAnswerPtr &answer, const CallerRequest &request);
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -1,4 +1,4 @@
-/** @file soak_world.cpp A randomized day over real processes. */
+/** @file soak_world.cpp A randomized test with real processes. */
 #include "soak_world.h"
 
 #include <QJsonArray>
@@ -8,33 +8,32 @@
 
 namespace {
 
-constexpr uint32_t PARTITIONS = 12;               ///< Of a topic.
-constexpr Millis REPORT_INTERVAL(500);            ///< Boxes report so often.
-constexpr Millis CAPACITY_CHANGE_INTERVAL(700);   ///< A box's room changes so often.
-constexpr Millis CRASH_INTERVAL(1900);            ///< Boxes crash so often,
-constexpr uint32_t MAX_CRASHES_AT_ONCE = 3;       ///< so many at a time at most;
-constexpr int64_t RESTART_MIN_MS = 50;            ///< ms until one is back at least,
-constexpr uint32_t RESTART_SHORT_SPREAD_MS = 300; ///< and at most so much more for half of them,
-constexpr uint32_t RESTART_LONG_SPREAD_MS = 4400; ///< or for the others.
-constexpr uint32_t NEW_ID_ONE_IN = 4;             ///< One of so many comes back under another id.
-constexpr Millis CRASH_RESTART_DELAY(1200);       ///< A box that a task has crashed is back after this.
-constexpr Millis WARM_UP(3000);                   ///< Nodes start and claim.
+constexpr uint32_t PARTITIONS = 12;               ///< Partitions of each topic.
+constexpr Millis REPORT_INTERVAL(500);            ///< Interval of the boxes' reports.
+constexpr Millis CAPACITY_CHANGE_INTERVAL(700);   ///< Interval of changes of a box's capacity.
+constexpr Millis CRASH_INTERVAL(1900);            ///< Interval of crashes.
+constexpr uint32_t MAX_CRASHES_AT_ONCE = 3;       ///< Maximum of boxes that crash at a time.
+constexpr int64_t RESTART_MIN_MS = 50;            ///< Least time from a crash to the restart.
+constexpr uint32_t RESTART_SHORT_SPREAD_MS = 300; ///< Random addition for half of the crashes, to go unnoticed.
+constexpr uint32_t RESTART_LONG_SPREAD_MS = 4400; ///< Random addition for the others.
+constexpr uint32_t NEW_ID_ONE_IN = 4;             ///< One restart of this many is under a new id.
+constexpr Millis CRASH_RESTART_DELAY(1200);       ///< Time from a crash caused by a task to the restart.
+constexpr Millis WARM_UP(3000);                   ///< Time for nodes to start and claim their partitions.
 constexpr Millis FAULT_MIN(300);                  ///< Shortest fault.
 constexpr Millis FAULT_MAX(4500);                 ///< Longest fault.
-constexpr Millis STATE_POLL_INTERVAL(500);        ///< Between two rounds of questions at the end.
-constexpr Millis SETTLE_TIMEOUT(45000); ///< All jobs are where they belong by then: two leases and two owners' terms.
-constexpr size_t MAX_VALID_KEYS = 2;    ///< Keys that callers may use at a time.
-constexpr int64_t ACCOUNT_MAXIMUM_HIGH =
-		200000; ///< Thousandths of a core that the account may have: more than all boxes,
-constexpr int64_t ACCOUNT_MAXIMUM_LOW = 100000; ///< and less of it, but enough.
-constexpr Millis CONFIG_TIMEOUT(3000);          ///< A configuration is in force by then.
-constexpr Millis STOP_TIMEOUT(7000);            ///< A planned stop has ended by then.
-constexpr const char *LARGE_NODE_CPU = "0.5";   ///< Cores of the first three nodes.
-constexpr const char *SMALL_NODE_CPU = "0.2";   ///< Cores of the others.
-constexpr int LARGE_NODES = 3;                  ///< See STRONG.
+constexpr Millis STATE_POLL_INTERVAL(500);        ///< Interval of state queries at the end.
+constexpr Millis SETTLE_TIMEOUT(45000); ///< Time for all jobs to reach their state: two leases and two owner changes.
+constexpr size_t MAX_VALID_KEYS = 2;    ///< Number of API keys that are valid at a time.
+constexpr int64_t ACCOUNT_MAXIMUM_HIGH = 200000; ///< Account maximum in thousandths of a core, above all boxes.
+constexpr int64_t ACCOUNT_MAXIMUM_LOW = 100000;  ///< Account maximum in thousandths of a core, lower but sufficient.
+constexpr Millis CONFIG_TIMEOUT(3000);           ///< Time until a configuration is in force on all nodes.
+constexpr Millis STOP_TIMEOUT(7000);             ///< Time limit of a planned stop.
+constexpr const char *LARGE_NODE_CPU = "0.5";    ///< Cores of each of the first LARGE_NODES nodes.
+constexpr const char *SMALL_NODE_CPU = "0.2";    ///< Cores of each other node.
+constexpr int LARGE_NODES = 3;                   ///< Number of nodes with LARGE_NODE_CPU.
 
-const Resources FULL_CAPACITY{8000, 8000, 0};    ///< Room of a box.
-const Resources REDUCED_CAPACITY{2000, 8000, 0}; ///< The same after it has shrunk.
+const Resources FULL_CAPACITY{8000, 8000, 0};    ///< Capacity of a box.
+const Resources REDUCED_CAPACITY{2000, 8000, 0}; ///< Capacity of a box after a reduction.
 
 } // namespace
 
@@ -160,7 +159,7 @@
 		services.append(QJsonObject{{"name", name}, {"admission-check", true}});
 	}
 	this->version += 1 + this->RandomBelow(3);
-	/* Each configuration brings a key and takes the oldest one away; what the account may have falls and rises. */
+	/* Each configuration adds a key and revokes the oldest; the account's maximum alternates. */
 	this->keys.push_back("key-" + std::to_string(this->version));
 	if (this->keys.size() > MAX_VALID_KEYS) {
 		this->revoked_key = this->keys.front();
@@ -199,7 +198,7 @@
 void SoakWorld::EndFaults()
 {
 	this->load_ended = true;
-	/* Faults under way end by themselves. */
+	/* Active faults end by themselves within FAULT_MAX. */
 	this->scheduler.After(FAULT_MAX, [this] {
 		this->healed_at = this->scheduler.Now();
 		this->WaitUntilSettled();
@@ -208,7 +207,8 @@
 
 bool SoakWorld::HasExpectedState(const SoakJob &job) const
 {
-	/* A cancellation may come after the end; two boxes that crash under a task are cause enough to give it up. */
+	/* A cancellation may come after the job's end, and a job may fail once two boxes have crashed while running a task.
+	 */
 	return job.state == job.expected || (job.cancelled && job.state == "cancelled") ||
 		   (job.state == "failed" && this->boxes.site.MayFail(job.spec.id));
 }
@@ -231,7 +231,7 @@
 	if (this->load_ended) {
 		return;
 	}
-	/* Mostly back under the id that they had, before anybody has missed them or long after. */
+	/* Most boxes restart under their old id, either before their absence is noticed or long after. */
 	BoxSite &site = this->boxes.site;
 	const std::vector<BoxReport> all = site.Reports();
 	const Millis default_delay = site.restart_delay;
@@ -281,14 +281,14 @@
 		const std::string id = job->spec.id.Value();
 		if (!job->accepted_at) {
 			if (!job->uncertain && this->boxes.site.Started(job->spec.id)) {
-				this->failures.push_back("a job that was refused at every try has run: " + id);
+				this->failures.push_back("a job whose submissions were all refused has run: " + id);
 			}
 			continue;
 		}
 		const size_t runs = this->boxes.site.Running(job->spec.id);
 		if (!this->HasExpectedState(*job)) {
 			std::string text = "job " + id;
-			text += " is told as '" + job->state;
+			text += " is reported as '" + job->state;
 			text += "', expected " + (job->cancelled ? "cancelled" : job->expected);
 			this->failures.push_back(std::move(text));
 		} else if (runs != (job->state == "running" ? job->spec.steps.front().count : 0)) {
@@ -308,7 +308,7 @@
 		for (const auto &node : this->nodes) {
 			this->Send(*node, "GET", "/extra/", {}, [this, &node](const HttpReply &reply) {
 				if (reply.result != CallResult::CR_ANSWERED || reply.status != 404) {
-					this->failures.push_back("a removed route is still there on " + node->Address() + ": status " +
+					this->failures.push_back("a removed route is still served by " + node->Address() + ": status " +
 											 std::to_string(reply.status));
 				}
 			});
@@ -329,7 +329,7 @@
 		constexpr int STATUS_UNAUTHORIZED = 401;
 		const bool good = std::ranges::find(this->keys, key) != this->keys.end();
 		if (reply.result == CallResult::CR_ANSWERED && (reply.status == STATUS_UNAUTHORIZED) == good) {
-			this->failures.push_back(at + (good ? " refuses a good key" : " takes a bad key") + ": status " +
+			this->failures.push_back(at + (good ? " refuses a valid key" : " accepts an invalid key") + ": status " +
 									 std::to_string(reply.status));
 		}
 	});
@@ -350,14 +350,14 @@
 	for (const auto &node : this->nodes) {
 		node->Finish();
 	}
-	/* Callers go on using their connections during the stop. */
+	/* Callers keep using their connections during the stop. */
 	for (size_t n = 0; n < this->jobs.size() && n < this->nodes.size(); n++) {
 		this->PollState(*this->jobs[n]);
 	}
 	this->scheduler.After(STOP_TIMEOUT, [this] {
 		for (const auto &node : this->nodes) {
 			if (!node->HasExited()) {
-				this->failures.push_back(node->Address() + " has not stopped in time");
+				this->failures.push_back(node->Address() + " did not stop in time");
 			}
 		}
 		this->done();
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_world.h
@@ -1,4 +1,4 @@
-/** @file soak_world.h A randomized day: node processes, stand-ins, callers, faults from outside, and what must hold. */
+/** @file soak_world.h A randomized test with node processes, stand-ins, callers, fault injection and invariants. */
 #ifndef SOAK_WORLD_H
 #define SOAK_WORLD_H
 
@@ -7,78 +7,78 @@
 #include "soak_node.h"
 #include "soak_store.h"
 
-/** What a soak is to be. */
+/** Options of a soak test. */
 struct SoakOptions {
-	std::string program;     ///< glade_node.
-	std::string folder;      ///< Settings and logs.
-	uint32_t seed = 1;       ///< Chooses everything.
-	Millis faults_for;       ///< Time with faults; then all heals.
-	int nodes = 4;           ///< Node processes.
-	int boxes = 6;           ///< Boxes of each service.
-	int jobs_per_second = 6; ///< Jobs handed in.
-	quint16 first_port = 0;  ///< Of the nodes.
-	bool calm = false;       ///< No faults.
+	std::string program;     ///< Path of glade_node.
+	std::string folder;      ///< Folder for settings and logs.
+	uint32_t seed = 1;       ///< Seed of all random choices.
+	Millis faults_for;       ///< Time with faults.
+	int nodes = 4;           ///< Number of node processes.
+	int boxes = 6;           ///< Number of boxes of each service.
+	int jobs_per_second = 6; ///< Rate of submissions.
+	quint16 first_port = 0;  ///< First port of the nodes.
+	bool calm = false;       ///< Whether to inject no faults.
 };
 
-/** A job as its caller sees it. */
+/** A job from its caller's point of view. */
 struct SoakJob {
-	JobSpec spec;                      ///< As handed in.
-	std::string service;               ///< Its service.
-	std::string body;                  ///< As sent.
-	int attempts = 0;                  ///< Times that it was handed in.
-	bool uncertain = false;            ///< Whether a try ended without a refusal.
-	std::optional<Millis> accepted_at; ///< When it was first confirmed.
-	bool cancel_wanted = false;        ///< Whether its caller asks for its cancellation.
-	bool cancelled = false;            ///< Whether that was confirmed.
-	std::string expected;              ///< State that it must end in.
-	std::string state;                 ///< State told last.
-	bool poll_pending = false;         ///< Whether a question is under way.
+	JobSpec spec;                      ///< As submitted.
+	std::string service;               ///< Name of its service.
+	std::string body;                  ///< Body of the submission.
+	int attempts = 0;                  ///< Number of submissions.
+	bool uncertain = false;            ///< Whether an unconfirmed submission may have been accepted.
+	std::optional<Millis> accepted_at; ///< Time of the confirmation.
+	bool cancel_wanted = false;        ///< Whether its caller will cancel it.
+	bool cancelled = false;            ///< Whether the cancellation was confirmed.
+	std::string expected;              ///< State that it must reach.
+	std::string state;                 ///< Last reported state.
+	bool poll_pending = false;         ///< Whether a query of its state is in progress.
 };
 
-/** The whole. */
+/** The soak test. */
 class SoakWorld {
 public:
-	/** @param plan What it is to be. */
+	/** @param options Options. */
 	explicit SoakWorld(const SoakOptions &options);
 
-	/** Begins. @param done Told when it is over. @return Whether it could begin. */
+	/** Starts the test. @param done Called at its end. @return Whether the servers listen. */
 	bool Start(std::function<void()> done);
 
-	/** @return What was broken, in words; empty when all held. */
+	/** @return Descriptions of all failed checks. */
 	[[nodiscard]] std::vector<std::string> Failures() const;
-	/** @return Counts, in a line. */
+	/** @return Seed and counts, in one line. */
 	[[nodiscard]] std::string Summary() const;
 
 private:
-	/** A fault: what it does for how long. */
+	/** A kind of fault. */
 	struct Fault {
-		const char *name;                             ///< For the log.
-		std::function<std::function<void()>()> begin; ///< Begins it; the result ends it, if there is anything to end.
+		const char *name;                             ///< Name in the output.
+		std::function<std::function<void()>()> begin; ///< Begins the fault; returns what ends it, or null.
 	};
 
-	SoakOptions options;                                 ///< What it is to be.
-	QtScheduler scheduler;                               ///< Clock.
-	std::mt19937 random;                                 ///< Chooses everything.
-	std::minstd_rand capacity_random;                    ///< Chooses boxes whose room changes.
-	std::minstd_rand crash_random;                       ///< Chooses boxes that crash.
-	SoakStore store;                                     ///< The store.
-	SoakBoxes boxes;                                     ///< The boxes.
-	std::vector<std::unique_ptr<SoakProxy>> box_proxies; ///< Ways to the boxes' agents.
+	SoakOptions options;                                 ///< Options.
+	QtScheduler scheduler;                               ///< Event loop.
+	std::mt19937 random;                                 ///< All other random choices.
+	std::minstd_rand capacity_random;                    ///< Chooses boxes whose capacity changes.
+	std::minstd_rand crash_random;                       ///< Chooses crashes of boxes.
+	SoakStore store;                                     ///< Store server.
+	SoakBoxes boxes;                                     ///< Server of the boxes.
+	std::vector<std::unique_ptr<SoakProxy>> box_proxies; ///< Connections to the agents, one a box.
 	std::vector<std::unique_ptr<SoakNode>> nodes;        ///< Node processes.
-	HttpCaller caller;                                   ///< Callers' connections.
-	std::vector<std::unique_ptr<SoakJob>> jobs;          ///< All jobs.
-	std::vector<Fault> fault_kinds;                      ///< Faults that may come.
-	std::vector<std::string> failures;                   ///< Promises broken.
-	std::function<void()> done;                          ///< Told at the end.
-	Millis traffic_started_at;                           ///< When traffic began.
-	Millis healed_at;                                    ///< When the last fault ended.
-	uint64_t version = 0;                                ///< Of the configuration.
-	std::deque<std::string> keys;                        ///< Keys that callers of "grid" may use, the newest last.
-	std::string revoked_key;                             ///< The one that was taken away last.
-	uint64_t wave = 0;                                   ///< Last wave ordered.
-	uint32_t faults = 0;                                 ///< Faults begun.
-	uint32_t active_store_faults = 0;                    ///< Faults of the store in force.
-	bool load_ended = false;                             ///< Whether no more faults come.
+	HttpCaller caller;                                   ///< Connections of callers.
+	std::vector<std::unique_ptr<SoakJob>> jobs;          ///< All submitted jobs.
+	std::vector<Fault> fault_kinds;                      ///< Faults to choose from.
+	std::vector<std::string> failures;                   ///< Failed checks of callers and nodes.
+	std::function<void()> done;                          ///< Called at the end.
+	Millis traffic_started_at;                           ///< Start of the traffic.
+	Millis healed_at;                                    ///< End of the last fault.
+	uint64_t version = 0;                                ///< Latest version of the configuration.
+	std::deque<std::string> keys;                        ///< Valid API keys, newest last.
+	std::string revoked_key;                             ///< Latest revoked key.
+	uint64_t wave = 0;                                   ///< Number of the last ordered wave.
+	uint32_t faults = 0;                                 ///< Number of faults begun.
+	uint32_t active_store_faults = 0;                    ///< Number of active faults of the store.
+	bool load_ended = false;                             ///< Whether no more jobs and faults are started.
 
 	uint32_t RandomBelow(uint32_t below);
 	Millis RandomMillis(int64_t low, int64_t high);
