--- a/src/standin/memory/box_site.cpp
+++ b/src/standin/memory/box_site.cpp
@@ -13,8 +13,8 @@
 constexpr Millis POLL_INTERVAL(5);           ///< Interval at which a waiting lease order checks for ends.
 constexpr Millis CANCEL_GRACE(3000);         ///< Time after a confirmed cancellation in which tasks may still start.
 constexpr Millis SHRINK_GRACE(4500);         ///< Time until reduced capacity is enforced: 3 s and one report.
-constexpr uint32_t CRASHES_BEFORE_LIMIT = 3; ///< Crashes while running a task from which on its starts are limited.
-constexpr uint32_t MAX_STARTS_AFTER_CRASHES = 3; ///< Further starts at which the limit is violated.
+constexpr uint32_t CRASHES_BEFORE_LIMIT = 3; ///< Crashes while running a task, after which its starts are counted.
+constexpr uint32_t MAX_STARTS_AFTER_CRASHES = 3; ///< Number of such starts that violates the rule.
 constexpr uint32_t CRASHES_TO_FAIL = 2;          ///< Crashes while running a task after which it may be given up.
 
 } // namespace
@@ -93,10 +93,10 @@
 	return it != this->boxes.end() && it->second.down;
 }
 
-void BoxSite::Resize(const BoxName &name, const Resources &room)
+void BoxSite::Resize(const BoxName &name, const Resources &capacity)
 {
 	Box &box = this->boxes.at(name);
-	box.capacity_before = std::exchange(box.report.capacity, room);
+	box.capacity_before = std::exchange(box.report.capacity, capacity);
 	box.resized_at = this->clock.Now();
 }
 
@@ -186,8 +186,8 @@
 
 void BoxSite::CheckCrashLimit(const SiteJob &job, const TaskId &task)
 {
-	const bool crasher = task.step == 0 && job.crashing_tasks.contains(task.index);
-	if (crasher && this->crashes_by_task[task] >= CRASHES_BEFORE_LIMIT &&
+	const bool crashes_box = task.step == 0 && job.crashing_tasks.contains(task.index);
+	if (crashes_box && this->crashes_by_task[task] >= CRASHES_BEFORE_LIMIT &&
 		++this->starts_after_crashes[task] == MAX_STARTS_AFTER_CRASHES) {
 		this->AddViolation("started three times more after three boxes had crashed under it", task);
 	}
@@ -196,9 +196,9 @@
 void BoxSite::CheckCapacity(const Box &box, const TaskId &task, const Resources &demand)
 {
 	Resources taken = demand;
-	std::ranges::for_each(box.running | std::views::values, [&taken](const Run &it) { taken += it.room; });
-	const bool binds = this->clock.Now() - box.resized_at >= SHRINK_GRACE;
-	if (!box.report.capacity.Holds(taken) && (binds || !box.capacity_before.Holds(taken))) {
+	std::ranges::for_each(box.running | std::views::values, [&taken](const Run &it) { taken += it.resources; });
+	const bool enforced = this->clock.Now() - box.resized_at >= SHRINK_GRACE;
+	if (!box.report.capacity.Holds(taken) && (enforced || !box.capacity_before.Holds(taken))) {
 		this->AddViolation("started beyond the capacity of its box", task);
 	}
 }
@@ -265,7 +265,7 @@
 	const auto job = this->jobs.find(order.task.job);
 	const Resources demand = job == this->jobs.end() ? Resources{} : job->second.spec.steps.at(order.task.step).demand;
 	Resources free = box->report.capacity;
-	std::ranges::for_each(box->running | std::views::values, [&free](const Run &it) { free -= it.room; });
+	std::ranges::for_each(box->running | std::views::values, [&free](const Run &it) { free -= it.resources; });
 	if (this->checks_capacity && !free.Holds(demand)) {
 		return this->MakeAnswer(box, OrderOutcome::OO_NO_ROOM);
 	}
--- a/src/standin/memory/box_site.h
+++ b/src/standin/memory/box_site.h
@@ -26,7 +26,7 @@
 struct BoxFaults {
 	bool unreachable = false;           ///< No call gets through; running tasks continue.
 	uint32_t lose_every = 0;            ///< Every n-th start or stop is executed without an answer; 0 for none.
-	bool late = false;                  ///< Executes those orders seconds later.
+	bool late = false;                  ///< Executes orders with a lost answer seconds later.
 	bool drop_starts_and_stops = false; ///< Starts and stops never arrive; lease orders are answered.
 	uint32_t lose_lease_every = 0;      ///< Every n-th lease order is executed without an answer; 0 for none.
 };
@@ -56,8 +56,8 @@
 	[[nodiscard]] bool Down(const BoxName &box) const;
 	/** Moves a box to another service. @param box Name of the box. @param service The new service. */
 	void Serve(const BoxName &box, const ServiceName &service) { this->boxes.at(box).report.service = service; }
-	/** Changes the capacity of a running box. @param box Name of the box. @param room The new capacity. */
-	void Resize(const BoxName &box, const Resources &room);
+	/** Changes the capacity of a running box. @param box Name of the box. @param capacity The new capacity. */
+	void Resize(const BoxName &box, const Resources &capacity);
 	/** @return Whether a job may be reported as failed: one of its tasks has used up its failures, or two boxes have
 	 * crashed while they ran it. @param id The job. */
 	[[nodiscard]] bool MayFail(const JobId &id) const;
@@ -95,7 +95,7 @@
 	/** A run. */
 	struct Run {
 		RunNumber run;         ///< Number of the run.
-		Resources room;        ///< Resources in use.
+		Resources resources;   ///< Resources in use.
 		TimerId timer;         ///< Ends the run.
 		bool stopping = false; ///< Whether a stop was accepted.
 	};
--- a/src/standin/memory/fleet_site.cpp
+++ b/src/standin/memory/fleet_site.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0, Unix time.
+constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0, Unix time in ms.
 constexpr Millis REBOOT_TIME(3000);         ///< Time that a reboot takes.
 constexpr Millis JOB_TIME(2000);            ///< Run time of a job.
 constexpr Millis HELLO_INTERVAL(500);       ///< Interval of an entry's hellos.
@@ -136,10 +136,10 @@
 	const auto self = this->core.State().members.find(this->core.self.name);
 	const bool member =
 			self != this->core.State().members.end() && self->second.incarnation == this->core.self.incarnation;
-	if (!member && this->tail.CaughtUp() && !this->joined_asked) {
-		this->joined_asked = true;
+	if (!member && this->tail.CaughtUp() && !this->join_pending) {
+		this->join_pending = true;
 		this->writer.Submit(MakeJoinProposal(this->core.self), WritePriority::WP_CONFIG,
-							[this](const Decision &) { this->joined_asked = false; });
+							[this](const Decision &) { this->join_pending = false; });
 	}
 	if (member) {
 		this->planner.Tick();
--- a/src/standin/memory/fleet_site.h
+++ b/src/standin/memory/fleet_site.h
@@ -37,7 +37,7 @@
 	int lose_orders = 0;             ///< Number of next orders to drop.
 	std::set<JobName> failing_jobs;  ///< Jobs that fail on every box.
 	std::set<BoxName> failing_boxes; ///< Boxes on which every job fails.
-	std::map<BoxName, int> reboots;  ///< Completed orders to reboot, by box.
+	std::map<BoxName, int> reboots;  ///< Reboots carried out, by box.
 
 private:
 	VirtualScheduler &clock; ///< Clock of the simulation.
@@ -68,15 +68,15 @@
 	MemoryLog log;             ///< Its connection to the log, with its own faults.
 	LogTail tail;              ///< Fleet state, built from the log.
 	LogWriter writer;          ///< Appends proposals to the log.
-	KeeperCore core;           ///< Shared by the desks.
-	EntryHandler entries;      ///< Entries.
-	OperatorHandler operators; ///< Operators.
-	RegionPlanner planner;     ///< Planning.
-	SnapshotWriter snapshots;  ///< Snapshots.
+	KeeperCore core;           ///< State shared by the handlers below.
+	EntryHandler entries;      ///< Serves entries.
+	OperatorHandler operators; ///< Serves operators.
+	RegionPlanner planner;     ///< Plans the region while this keeper holds the term.
+	SnapshotWriter snapshots;  ///< Writes snapshots.
 	bool list_frozen = false;  ///< Whether its list of boxes is no longer updated.
 
 private:
-	bool joined_asked = false; ///< Whether its proposal to join is undecided.
+	bool join_pending = false; ///< Whether its proposal to join is undecided.
 
 	void OnRecord(const std::vector<Decision> &decisions);
 	void Tick();
@@ -147,7 +147,7 @@
 	/** @return Whether all live keepers have the same state. */
 	[[nodiscard]] bool StatesAgree() const;
 
-	VirtualScheduler clock;                           ///< The clock.
+	VirtualScheduler clock;                           ///< Clock of the simulation.
 	LogStore store;                                   ///< The log.
 	SitePlatform platform;                            ///< Boxes and their jobs.
 	std::vector<std::unique_ptr<KeeperNode>> keepers; ///< Keepers, including killed ones.
--- a/src/standin/memory/keyed_store.h
+++ b/src/standin/memory/keyed_store.h
@@ -13,7 +13,7 @@
 /** State of the log: partitions and consumer groups. It has no transport; callers pass in the time. */
 class KeyedStore {
 public:
-	/** @param parts Partitions of each topic. */
+	/** @param partition_count Partitions of each topic. */
 	explicit KeyedStore(uint32_t partition_count) : partition_count(partition_count) {}
 
 	/** Appends records; see KeyedLog::Append(). */
@@ -85,7 +85,7 @@
 	std::set<PartitionId> silent_partitions; ///< Partitions whose calls get no answer and are not executed.
 	bool refusing = false;                   ///< Appends and joins are refused, reads fail; nothing is executed.
 	uint32_t lose_every = 0;                 ///< Every n-th append is executed but not answered; 0 for none.
-	bool late = false;                       ///< Executes those appends seconds later.
+	bool late = false;                       ///< Executes appends with a lost answer seconds later.
 	bool join_lost = false;                  ///< Joins get no answer and have no effect.
 	Millis latency = Millis(4);              ///< One-way latency.
 };
--- a/src/standin/memory/request_world.cpp
+++ b/src/standin/memory/request_world.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0, Unix time.
+constexpr Millis WALL_START(1700000000000); ///< Wall clock at virtual time 0, Unix time in ms.
 constexpr Millis CONNECT_TIME(1);           ///< Time until a connection is established or fails.
 constexpr Millis LATE_TIME(3000);           ///< Run time of a request at a late endpoint.
 constexpr Millis TICK_INTERVAL(50);         ///< Interval of lease renewals and of the gates' ticks.
@@ -354,7 +354,7 @@
 	/* Keys issued from now on must be later than the settling time of the first membership. */
 	this->Run(Millis(20000));
 	this->timeline.clear();
-	this->began = this->clock.Now();
+	this->timeline_start = this->clock.Now();
 }
 
 RequestWorld::~RequestWorld()
@@ -461,7 +461,7 @@
 
 void RequestWorld::Note(const std::string &line)
 {
-	const std::string at = std::to_string((this->clock.Now() - this->began).Value());
+	const std::string at = std::to_string((this->clock.Now() - this->timeline_start).Value());
 	this->timeline += std::string(at.size() < 6 ? 6 - at.size() : 0, ' ') + at + "  " + line + "\n";
 }
 
--- a/src/standin/memory/request_world.h
+++ b/src/standin/memory/request_world.h
@@ -133,7 +133,7 @@
 	std::vector<std::unique_ptr<CallerProbe>> probes; ///< All callers.
 	FleetState fleet;                                 ///< Fleet state from which views are built.
 	std::string timeline;                             ///< Events, one a line.
-	Millis began;                                     ///< Start of the timeline.
+	Millis timeline_start;                            ///< Start of the timeline.
 
 private:
 	uint64_t view_version = 0; ///< Version of the latest view.
--- a/tests/owner/main.cpp
+++ b/tests/owner/main.cpp
@@ -26,20 +26,20 @@
   -h --help    Show this.
 )";
 
-constexpr Millis WARM_UP(3000);             ///< Time until the number of tasks in the queue is stable.
-constexpr Millis RUN_TIME(1000);            ///< Run time of a task.
-constexpr Millis APPEND_TIME(8);            ///< Time of an append to the log.
-constexpr Millis SUBMIT_INTERVAL(10);       ///< Interval of submissions.
-constexpr Resources ROOM{16000, 65536, 0};  ///< Capacity of a box.
-constexpr Resources DEMAND{2200, 6400, 0};  ///< Mean demand of a task.
-constexpr int64_t DEMAND_SPREAD = 1000;     ///< Largest deviation from the mean, in thousandths of a core.
-constexpr uint32_t STEP_TASKS_MIN = 3;      ///< Least number of tasks of a step.
-constexpr uint32_t STEP_TASKS_MAX = 13;     ///< Largest number of tasks of a step.
-constexpr double MEAN_STEPS = 1.6;          ///< Mean number of steps of a job, which has one or two.
-constexpr double NS_PER_US = 1000;          ///< Nanoseconds in a microsecond.
-constexpr double US_PER_SECOND = 1000000;   ///< Microseconds in a second.
-const ServiceName SERVICE("calc");          ///< Service of the queue.
-const PartitionId PROGRESS{"jobs.calc", 0}; ///< Partition of the owner's records.
+constexpr Millis WARM_UP(3000);                    ///< Time until the number of tasks in the queue is stable.
+constexpr Millis RUN_TIME(1000);                   ///< Run time of a task.
+constexpr Millis APPEND_TIME(8);                   ///< Time of an append to the log.
+constexpr Millis SUBMIT_INTERVAL(10);              ///< Interval of submissions.
+constexpr Resources BOX_CAPACITY{16000, 65536, 0}; ///< Capacity of a box.
+constexpr Resources DEMAND{2200, 6400, 0};         ///< Mean demand of a task.
+constexpr int64_t DEMAND_SPREAD = 1000;            ///< Largest deviation from the mean, in thousandths of a core.
+constexpr uint32_t STEP_TASKS_MIN = 3;             ///< Least number of tasks of a step.
+constexpr uint32_t STEP_TASKS_MAX = 13;            ///< Largest number of tasks of a step.
+constexpr double MEAN_STEPS = 1.6;                 ///< Mean number of steps of a job, which has one or two.
+constexpr double NS_PER_US = 1000;                 ///< Nanoseconds in a microsecond.
+constexpr double US_PER_SECOND = 1000000;          ///< Microseconds in a second.
+const ServiceName SERVICE("calc");                 ///< Service of the queue.
+const PartitionId PROGRESS{"jobs.calc", 0};        ///< Partition of the owner's records.
 
 /** @return Processor time of this thread in microseconds. */
 double ThreadMicros()
@@ -91,7 +91,7 @@
 		config.routes = {JobRoute{RouteName("r"), "h", "/r/", SERVICE, 0, 3, 1.6, Millis(600)}};
 		config.services = {JobService{SERVICE, true, false}};
 		this->shard.Configure(config);
-		for (const BoxReport &it : this->agents.Reports(SERVICE, ROOM)) {
+		for (const BoxReport &it : this->agents.Reports(SERVICE, BOX_CAPACITY)) {
 			this->shard.OnReport(it);
 		}
 		this->shard.SetEarlierLeaseSpan(Millis(0));
--- a/tests/owner/simulated_agents.cpp
+++ b/tests/owner/simulated_agents.cpp
@@ -50,7 +50,7 @@
 SimulatedAgents::SimulatedAgents(size_t boxes, Millis run_time) : boxes(boxes), run_time(run_time)
 {
 	this->thread.start();
-	this->thread_context.moveToThread(&this->thread);
+	this->thread_object.moveToThread(&this->thread);
 	this->OnThread([this] {
 		this->scheduler = std::make_unique<QtScheduler>();
 		this->listener = std::make_unique<CallerListener>([this](qintptr descriptor) {
@@ -73,10 +73,10 @@
 
 void SimulatedAgents::OnThread(const std::function<void()> &run)
 {
-	QMetaObject::invokeMethod(&this->thread_context, run, Qt::BlockingQueuedConnection);
+	QMetaObject::invokeMethod(&this->thread_object, run, Qt::BlockingQueuedConnection);
 }
 
-std::vector<BoxReport> SimulatedAgents::Reports(const ServiceName &service, const Resources &room) const
+std::vector<BoxReport> SimulatedAgents::Reports(const ServiceName &service, const Resources &capacity) const
 {
 	std::vector<BoxReport> out;
 	for (size_t n = 0; n < this->boxes; n++) {
@@ -86,7 +86,7 @@
 		report.service = service;
 		report.address = "127.9." + std::to_string(n / BOXES_PER_SUBNET) + "." +
 						 std::to_string(n % BOXES_PER_SUBNET + 1) + ":" + std::to_string(this->port);
-		report.capacity = room;
+		report.capacity = capacity;
 		report.labels = {"a", "rack" + std::to_string(n / 20)};
 		report.rack = RackName(report.labels.back());
 		out.push_back(report);
--- a/tests/owner/simulated_agents.h
+++ b/tests/owner/simulated_agents.h
@@ -21,8 +21,8 @@
 	SimulatedAgents(const SimulatedAgents &) = delete;
 	SimulatedAgents &operator=(const SimulatedAgents &) = delete;
 
-	/** @return Reports of all boxes. @param service Their service. @param room Capacity of each. */
-	[[nodiscard]] std::vector<BoxReport> Reports(const ServiceName &service, const Resources &room) const;
+	/** @return Reports of all boxes. @param service Their service. @param capacity Capacity of each. */
+	[[nodiscard]] std::vector<BoxReport> Reports(const ServiceName &service, const Resources &capacity) const;
 
 	std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest request) override;
 
@@ -48,7 +48,7 @@
 	size_t boxes;                                  ///< Number of boxes.
 	Millis run_time;                               ///< Time that every run takes.
 	QThread thread;                                ///< Thread of the listener and of all members below.
-	QObject thread_context;                        ///< Object of the thread, for calls to it.
+	QObject thread_object;                         ///< Object of the thread, for calls to it.
 	std::unique_ptr<QtScheduler> scheduler;        ///< Event loop of the thread.
 	std::unique_ptr<CallerListener> listener;      ///< Accepts connections.
 	CallerLimits limits;                           ///< Limits for connections.
--- a/tests/soak/soak_boxes.h
+++ b/tests/soak/soak_boxes.h
@@ -11,7 +11,7 @@
 /** Faults of starts and stops sent to a box. */
 struct SoakBoxFaults {
 	int lose_percent = 0; ///< Percentage executed, but disconnected without an answer.
-	bool late = false;    ///< Executes those orders after LATE_DELAY.
+	bool late = false;    ///< Whether orders with a lost answer are executed LATE_DELAY later.
 };
 
 /** Server of all boxes on one port; the incarnation named in a call selects the box. */
--- a/tests/soak/soak_node.cpp
+++ b/tests/soak/soak_node.cpp
@@ -11,26 +11,26 @@
 
 } // namespace
 
-SoakNode::SoakNode(QtScheduler &scheduler, const SoakEnvironment &site, int number, const std::string &cpu)
-		: proxy(scheduler, site.store), scheduler(scheduler), site(site), name("node-" + std::to_string(number)),
-		  pause(RESTART_DELAY)
+SoakNode::SoakNode(QtScheduler &scheduler, const SoakEnvironment &environment, int number, const std::string &cpu)
+		: proxy(scheduler, environment.store), scheduler(scheduler), environment(environment),
+		  name("node-" + std::to_string(number)), pause(RESTART_DELAY)
 {
-	const auto first = static_cast<quint16>(site.first_port + number * PORTS_PER_NODE);
+	const auto first = static_cast<quint16>(environment.first_port + number * PORTS_PER_NODE);
 	const auto at = [first](quint16 n) { return "127.0.0.1:" + std::to_string(first + n); };
 	this->address = at(0);
-	this->file = site.folder + "/" + this->name + ".yaml";
+	this->file = environment.folder + "/" + this->name + ".yaml";
 	this->proxy.Start();
 	std::ofstream(this->file) << "name: " << this->name << "\nzone: z" << number % 2 << "\ncallers: " << at(0)
 							  << "\nready: " << at(1) << "\nframes: " << at(2) << "\nmetrics: " << at(3)
 							  << "\nstore: 127.0.0.1:" << this->proxy.serverPort()
-							  << "\nmachines: 127.0.0.1:" << site.machines << "\ncpu: " << cpu
-							  << "\npartitions: " << site.partitions << "\nlease_max: 10s\n";
+							  << "\nmachines: 127.0.0.1:" << environment.machines << "\ncpu: " << cpu
+							  << "\npartitions: " << environment.partitions << "\nlease_max: 10s\n";
 	this->process.setProcessChannelMode(QProcess::MergedChannels);
-	this->process.setStandardOutputFile(QString::fromStdString(site.folder + "/" + this->name + ".log"),
+	this->process.setStandardOutputFile(QString::fromStdString(environment.folder + "/" + this->name + ".log"),
 										QIODevice::Append);
 	QObject::connect(&this->process, &QProcess::errorOccurred, &this->process, [this](QProcess::ProcessError error) {
 		if (error == QProcess::FailedToStart) {
-			this->unexpected_exit = this->name + " could not be started: " + this->site.program;
+			this->unexpected_exit = this->name + " could not be started: " + this->environment.program;
 		}
 	});
 	QObject::connect(&this->process, &QProcess::finished, &this->process,
@@ -49,7 +49,8 @@
 void SoakNode::Start()
 {
 	this->stopping = this->killed = this->frozen = this->faulted = false;
-	this->process.start(QString::fromStdString(this->site.program), {"--settings", QString::fromStdString(this->file)});
+	this->process.start(QString::fromStdString(this->environment.program),
+						{"--settings", QString::fromStdString(this->file)});
 }
 
 void SoakNode::OnEnded(int code, QProcess::ExitStatus status)
--- a/tests/soak/soak_node.h
+++ b/tests/soak/soak_node.h
@@ -19,9 +19,9 @@
 /** A node process, which is restarted whenever it exits, until Finish(). */
 class SoakNode {
 public:
-	/** @param scheduler Event loop. @param site Paths and ports. @param number Number of the node. @param cpu Setting
-	 * "cpu": cores. */
-	SoakNode(QtScheduler &scheduler, const SoakEnvironment &site, int number, const std::string &cpu);
+	/** @param scheduler Event loop. @param environment Paths and ports. @param number Number of the node. @param cpu
+	 * Setting "cpu": cores. */
+	SoakNode(QtScheduler &scheduler, const SoakEnvironment &environment, int number, const std::string &cpu);
 	~SoakNode();
 	SoakNode(const SoakNode &) = delete;
 	SoakNode &operator=(const SoakNode &) = delete;
@@ -54,18 +54,18 @@
 	std::string unexpected_exit; ///< Description of an unrequested exit; empty for none.
 
 private:
-	QtScheduler &scheduler; ///< Event loop.
-	SoakEnvironment site;   ///< Paths and ports.
-	std::string name;       ///< Name of the node.
-	std::string address;    ///< Address for callers.
-	std::string file;       ///< Path of its settings file.
-	QProcess process;       ///< The process.
-	Millis pause;           ///< Time until the next restart.
-	bool stopping = false;  ///< Whether a planned stop was requested.
-	bool killed = false;    ///< Whether it was killed.
-	bool frozen = false;    ///< Whether it is stopped by SIGSTOP.
-	bool faulted = false;   ///< Whether a fault has hit it since its start.
-	bool finishing = false; ///< Whether it is not to be restarted.
+	QtScheduler &scheduler;      ///< Event loop.
+	SoakEnvironment environment; ///< Paths and ports.
+	std::string name;            ///< Name of the node.
+	std::string address;         ///< Address for callers.
+	std::string file;            ///< Path of its settings file.
+	QProcess process;            ///< The process.
+	Millis pause;                ///< Time until the next restart.
+	bool stopping = false;       ///< Whether a planned stop was requested.
+	bool killed = false;         ///< Whether it was killed.
+	bool frozen = false;         ///< Whether it is stopped by SIGSTOP.
+	bool faulted = false;        ///< Whether a fault has hit it since its start.
+	bool finishing = false;      ///< Whether it is not to be restarted.
 
 	void OnEnded(int code, QProcess::ExitStatus status);
 	void Signal(int number);
--- a/tests/soak/soak_store.h
+++ b/tests/soak/soak_store.h
@@ -11,7 +11,7 @@
 struct SoakStoreFaults {
 	bool unavailable = false;                ///< Answers every call with 503; executes none.
 	int lose_percent = 0;                    ///< Percentage of appends executed, but disconnected without an answer.
-	bool late = false;                       ///< Executes those appends after LATE_DELAY.
+	bool late = false;                       ///< Whether appends with a lost answer are executed LATE_DELAY later.
 	std::set<PartitionId> silent_partitions; ///< Partitions whose calls get no answer and are not executed.
 	Millis added_latency;                    ///< Added to the time of each answer.
 };
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -15,7 +15,7 @@
 constexpr uint32_t MAX_CRASHES_AT_ONCE = 3;       ///< Maximum of boxes that crash at a time.
 constexpr int64_t RESTART_MIN_MS = 50;            ///< Least time from a crash to the restart.
 constexpr uint32_t RESTART_SHORT_SPREAD_MS = 300; ///< Random addition for half of the crashes, to go unnoticed.
-constexpr uint32_t RESTART_LONG_SPREAD_MS = 4400; ///< Random addition for the others.
+constexpr uint32_t RESTART_LONG_SPREAD_MS = 4400; ///< Random addition for the other half of the crashes.
 constexpr uint32_t NEW_ID_ONE_IN = 4;             ///< One restart of this many is under a new id.
 constexpr Millis CRASH_RESTART_DELAY(1200);       ///< Time from a crash caused by a task to the restart.
 constexpr Millis WARM_UP(3000);                   ///< Time for nodes to start and claim their partitions.
@@ -67,10 +67,10 @@
 	this->PublishConfig(true);
 	this->PublishReports();
 	this->DefineFaults();
-	const SoakEnvironment site{this->options.program, this->options.folder,      this->options.first_port,
-							   this->store.Port(),    this->boxes.ControlPort(), PARTITIONS};
+	const SoakEnvironment environment{this->options.program, this->options.folder,      this->options.first_port,
+									  this->store.Port(),    this->boxes.ControlPort(), PARTITIONS};
 	for (int n = 0; n < this->options.nodes; n++) {
-		this->nodes.push_back(std::make_unique<SoakNode>(this->scheduler, site, n,
+		this->nodes.push_back(std::make_unique<SoakNode>(this->scheduler, environment, n,
 														 n < LARGE_NODES ? LARGE_NODE_CPU : SMALL_NODE_CPU));
 		this->nodes.back()->Start();
 	}
@@ -200,7 +200,7 @@
 	this->load_ended = true;
 	/* Active faults end by themselves within FAULT_MAX. */
 	this->scheduler.After(FAULT_MAX, [this] {
-		this->healed_at = this->scheduler.Now();
+		this->faults_ended_at = this->scheduler.Now();
 		this->WaitUntilSettled();
 	});
 }
@@ -262,7 +262,7 @@
 
 void SoakWorld::WaitUntilSettled()
 {
-	if (this->AllSettled() || this->scheduler.Now() - this->healed_at > SETTLE_TIMEOUT) {
+	if (this->AllSettled() || this->scheduler.Now() - this->faults_ended_at > SETTLE_TIMEOUT) {
 		this->Check();
 		this->CheckRemovedRoute();
 		return;
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_world.h
@@ -71,7 +71,7 @@
 	std::vector<std::string> failures;                   ///< Failed checks of callers and nodes.
 	std::function<void()> done;                          ///< Called at the end.
 	Millis traffic_started_at;                           ///< Start of the traffic.
-	Millis healed_at;                                    ///< End of the last fault.
+	Millis faults_ended_at;                              ///< End of the last fault.
 	uint64_t version = 0;                                ///< Latest version of the configuration.
 	std::deque<std::string> keys;                        ///< Valid API keys, newest last.
 	std::string revoked_key;                             ///< Latest revoked key.
