--- a/src/standin/memory/box_site.cpp
+++ b/src/standin/memory/box_site.cpp
@@ -93,10 +93,10 @@
 	return it != this->boxes.end() && it->second.down;
 }
 
-void BoxSite::Resize(const BoxName &name, const Resources &capacity)
+void BoxSite::Resize(const BoxName &name, const Resources &new_capacity)
 {
 	Box &box = this->boxes.at(name);
-	box.capacity_before = std::exchange(box.report.capacity, capacity);
+	box.capacity_before = std::exchange(box.report.capacity, new_capacity);
 	box.resized_at = this->clock.Now();
 }
 
--- a/src/standin/memory/box_site.h
+++ b/src/standin/memory/box_site.h
@@ -56,8 +56,8 @@
 	[[nodiscard]] bool Down(const BoxName &box) const;
 	/** Moves a box to another service. @param box Name of the box. @param service The new service. */
 	void Serve(const BoxName &box, const ServiceName &service) { this->boxes.at(box).report.service = service; }
-	/** Changes the capacity of a running box. @param box Name of the box. @param capacity The new capacity. */
-	void Resize(const BoxName &box, const Resources &capacity);
+	/** Changes the capacity of a running box. @param box Name of the box. @param new_capacity The new capacity. */
+	void Resize(const BoxName &box, const Resources &new_capacity);
 	/** @return Whether a job may be reported as failed: one of its tasks has used up its failures, or two boxes have
 	 * crashed while they ran it. @param id The job. */
 	[[nodiscard]] bool MayFail(const JobId &id) const;
--- a/tests/owner/simulated_agents.cpp
+++ b/tests/owner/simulated_agents.cpp
@@ -76,7 +76,7 @@
 	QMetaObject::invokeMethod(&this->thread_object, run, Qt::BlockingQueuedConnection);
 }
 
-std::vector<BoxReport> SimulatedAgents::Reports(const ServiceName &service, const Resources &capacity) const
+std::vector<BoxReport> SimulatedAgents::Reports(const ServiceName &service, const Resources &box_capacity) const
 {
 	std::vector<BoxReport> out;
 	for (size_t n = 0; n < this->boxes; n++) {
@@ -86,7 +86,7 @@
 		report.service = service;
 		report.address = "127.9." + std::to_string(n / BOXES_PER_SUBNET) + "." +
 						 std::to_string(n % BOXES_PER_SUBNET + 1) + ":" + std::to_string(this->port);
-		report.capacity = capacity;
+		report.capacity = box_capacity;
 		report.labels = {"a", "rack" + std::to_string(n / 20)};
 		report.rack = RackName(report.labels.back());
 		out.push_back(report);
--- a/tests/owner/simulated_agents.h
+++ b/tests/owner/simulated_agents.h
@@ -21,8 +21,8 @@
 	SimulatedAgents(const SimulatedAgents &) = delete;
 	SimulatedAgents &operator=(const SimulatedAgents &) = delete;
 
-	/** @return Reports of all boxes. @param service Their service. @param capacity Capacity of each. */
-	[[nodiscard]] std::vector<BoxReport> Reports(const ServiceName &service, const Resources &capacity) const;
+	/** @return Reports of all boxes. @param service Their service. @param box_capacity Capacity of each. */
+	[[nodiscard]] std::vector<BoxReport> Reports(const ServiceName &service, const Resources &box_capacity) const;
 
 	std::shared_ptr<ServedRequest> Serve(CallerSink &sink, CallerRequest request) override;
 
