--- a/src/standin/memory/node_scheduler.h
+++ b/src/standin/memory/node_scheduler.h
@@ -1,5 +1,5 @@
-/** @file node_scheduler.h Clock of one process in memory: it can be killed, paused as by a stopped process, suspended
- * with its machine, or be short of processor time. */
+/** @file node_scheduler.h Scheduler of one simulated process, which can be killed, paused (as by SIGSTOP), suspended
+ * together with its machine, or starved of processor time. */
 #ifndef NODE_SCHEDULER_H
 #define NODE_SCHEDULER_H
 
@@ -10,7 +10,7 @@
 #include <memory>
 #include <utility>
 
-/** Runs on the world's clock while its process lives. */
+/** Runs callbacks on the simulation's clock while the process is alive. */
 class NodeScheduler : public Scheduler {
 public:
 	explicit NodeScheduler(VirtualScheduler &clock) : clock(clock) {}
@@ -20,7 +20,7 @@
 
 	[[nodiscard]] Millis Now() const override
 	{
-		return this->counts_sleep ? this->clock.Now() : this->clock.Now() - this->slept;
+		return this->counts_sleep ? this->clock.Now() : this->clock.Now() - this->suspended_time;
 	}
 	[[nodiscard]] Millis WallNow() const override { return this->clock.WallNow(); }
 	void Cancel(TimerId id) override { this->timers.erase(id); }
@@ -29,62 +29,62 @@
 	TimerId After(Millis delay, std::function<void()> run) override
 	{
 		const TimerId id(++this->last_id);
-		this->timers.emplace(id, Timer{std::move(run), this->slept});
+		this->timers.emplace(id, Timer{std::move(run), this->suspended_time});
 		this->Arm(id, delay);
 		return id;
 	}
 
-	/** The machine is suspended: nothing runs, and the time does not count for timers that are set; when it wakes, the
-	 * clock has jumped ahead of them. @param span For how long. */
+	/** Suspends the machine: nothing runs, and pending timers don't count the time, while the clock does. @param span
+	 * Length of the suspension. */
 	void Suspend(Millis span)
 	{
 		this->paused_until = this->clock.Now() + span;
-		this->slept = this->slept + span;
+		this->suspended_time = this->suspended_time + span;
 	}
 
-	/** What a callback has cost in microseconds of processor time at the node's share of a core, told after each one;
-	 * null when work takes no time. The node stands still for so long. */
+	/** Returns the cost of the last callback in microseconds at the node's share of a core; the node stalls for that
+	 * long. Called after each callback; null when work takes no time. */
 	std::function<double()> take_cost;
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< False once killed.
-	Millis paused_until;                                        ///< Everything waits until then.
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< False once the process is killed.
+	Millis paused_until;                                        ///< End of the current pause; nothing runs before it.
 	bool counts_sleep = true; ///< Whether Now() counts the time for which the machine was suspended.
 
 private:
 	static constexpr double US_PER_MS = 1000; ///< Microseconds in a millisecond.
 
-	/** A timer that is set. */
+	/** A pending timer. */
 	struct Timer {
-		std::function<void()> run; ///< What it runs.
-		Millis slept;              ///< Time suspended before it was set.
+		std::function<void()> run; ///< Callback.
+		Millis suspended_time;     ///< Suspended time that it has already accounted for.
 	};
 
-	VirtualScheduler &clock;         ///< The world's clock.
-	uint64_t last_id = 0;            ///< Last timer handed out.
-	std::map<TimerId, Timer> timers; ///< Timers that are set, also those that wait for a pause to end.
-	Millis slept;                    ///< Time for which the machine was suspended so far.
-	double owed_us = 0;              ///< Time for which the node has yet to stand still.
-	std::deque<TimerId> held;        ///< Timers that came due while it did, in order.
+	VirtualScheduler &clock;         ///< Clock of the simulation.
+	uint64_t last_id = 0;            ///< Id of the last timer.
+	std::map<TimerId, Timer> timers; ///< Pending timers, including those that a pause holds back.
+	Millis suspended_time;           ///< Total time for which the machine was suspended.
+	double stall_us = 0;             ///< Remaining stall.
+	std::deque<TimerId> deferred;    ///< Timers that expired during a stall, in order.
 
 	void Arm(TimerId id, Millis delay)
 	{
-		this->clock.After(delay, [this, still = this->alive, id] {
-			if (*still) {
-				this->Fire(id);
+		this->clock.After(delay, [this, process_alive = this->alive, id] {
+			if (*process_alive) {
+				this->OnTimer(id);
 			}
 		});
 	}
 
-	void Fire(TimerId id)
+	void OnTimer(TimerId id)
 	{
 		const auto it = this->timers.find(id);
 		if (it == this->timers.end()) {
 			return;
 		}
-		if (this->owed_us >= US_PER_MS || !this->held.empty()) {
-			this->Hold(id);
+		if (this->stall_us >= US_PER_MS || !this->deferred.empty()) {
+			this->Defer(id);
 			return;
 		}
-		const Millis missed = this->slept - std::exchange(it->second.slept, this->slept);
+		const Millis missed = this->suspended_time - std::exchange(it->second.suspended_time, this->suspended_time);
 		const Millis paused = this->paused_until - this->clock.Now();
 		if (missed > Millis(0) || paused > Millis(0)) {
 			this->Arm(id, std::max(missed, paused));
@@ -97,36 +97,36 @@
 	{
 		this->timers.extract(it).mapped().run();
 		if (this->take_cost) {
-			this->owed_us += this->take_cost();
+			this->stall_us += this->take_cost();
 		}
 	}
 
-	/* One timer of the world serves all that wait: a node that is behind has thousands. */
-	void Hold(TimerId id)
+	/* One timer of the simulation serves all deferred timers: an overloaded node has thousands of them. */
+	void Defer(TimerId id)
 	{
-		this->held.push_back(id);
-		if (this->held.size() == 1) {
-			this->ServeHeld();
+		this->deferred.push_back(id);
+		if (this->deferred.size() == 1) {
+			this->RunDeferred();
 		}
 	}
 
-	void ServeHeld()
+	void RunDeferred()
 	{
-		while (!this->held.empty() && this->owed_us < US_PER_MS) {
-			const auto it = this->timers.find(this->held.front());
-			this->held.pop_front();
+		while (!this->deferred.empty() && this->stall_us < US_PER_MS) {
+			const auto it = this->timers.find(this->deferred.front());
+			this->deferred.pop_front();
 			if (it != this->timers.end()) {
 				this->Run(it);
 			}
 		}
-		if (this->held.empty()) {
+		if (this->deferred.empty()) {
 			return;
 		}
-		const Millis owed(static_cast<int64_t>(this->owed_us / US_PER_MS));
-		this->owed_us -= static_cast<double>(owed.Value()) * US_PER_MS;
-		this->clock.After(std::max(owed, this->paused_until - this->clock.Now()), [this, still = this->alive] {
-			if (*still) {
-				this->ServeHeld();
+		const Millis stall(static_cast<int64_t>(this->stall_us / US_PER_MS));
+		this->stall_us -= static_cast<double>(stall.Value()) * US_PER_MS;
+		this->clock.After(std::max(stall, this->paused_until - this->clock.Now()), [this, process_alive = this->alive] {
+			if (*process_alive) {
+				this->RunDeferred();
 			}
 		});
 	}
--- a/tests/soak/soak_node.cpp
+++ b/tests/soak/soak_node.cpp
@@ -1,4 +1,4 @@
-/** @file soak_node.cpp A node process of the soak. */
+/** @file soak_node.cpp A node process of the soak test. */
 #include "soak_node.h"
 
 #include <csignal>
@@ -6,31 +6,31 @@
 
 namespace {
 
-constexpr quint16 PORTS_EACH = 4;    ///< Callers, balancer, other nodes, metrics.
-constexpr Millis RESTART_AFTER(200); ///< A process that ended starts again after this.
+constexpr quint16 PORTS_PER_NODE = 4; ///< Ports for callers, load balancer, other nodes and metrics.
+constexpr Millis RESTART_DELAY(200);  ///< Time from an exit to the restart.
 
 } // namespace
 
-SoakNode::SoakNode(QtScheduler &scheduler, const SoakSite &site, int number, const std::string &cpu)
-		: way(scheduler, site.store), scheduler(scheduler), site(site), name("node-" + std::to_string(number)),
-		  pause(RESTART_AFTER)
+SoakNode::SoakNode(QtScheduler &scheduler, const SoakEnvironment &environment, int number, const std::string &cpu)
+		: proxy(scheduler, environment.store), scheduler(scheduler), environment(environment),
+		  name("node-" + std::to_string(number)), pause(RESTART_DELAY)
 {
-	const auto first = static_cast<quint16>(site.first_port + number * PORTS_EACH);
+	const auto first = static_cast<quint16>(environment.first_port + number * PORTS_PER_NODE);
 	const auto at = [first](quint16 n) { return "127.0.0.1:" + std::to_string(first + n); };
 	this->address = at(0);
-	this->file = site.folder + "/" + this->name + ".yaml";
-	this->way.Start();
+	this->file = environment.folder + "/" + this->name + ".yaml";
+	this->proxy.Start();
 	std::ofstream(this->file) << "name: " << this->name << "\nzone: z" << number % 2 << "\ncallers: " << at(0)
 							  << "\nready: " << at(1) << "\nframes: " << at(2) << "\nmetrics: " << at(3)
-							  << "\nstore: 127.0.0.1:" << this->way.serverPort()
-							  << "\nmachines: 127.0.0.1:" << site.machines << "\ncpu: " << cpu
-							  << "\npartitions: " << site.partitions << "\nlease_max: 10s\n";
+							  << "\nstore: 127.0.0.1:" << this->proxy.serverPort()
+							  << "\nmachines: 127.0.0.1:" << environment.machines << "\ncpu: " << cpu
+							  << "\npartitions: " << environment.partitions << "\nlease_max: 10s\n";
 	this->process.setProcessChannelMode(QProcess::MergedChannels);
-	this->process.setStandardOutputFile(QString::fromStdString(site.folder + "/" + this->name + ".log"),
+	this->process.setStandardOutputFile(QString::fromStdString(environment.folder + "/" + this->name + ".log"),
 										QIODevice::Append);
 	QObject::connect(&this->process, &QProcess::errorOccurred, &this->process, [this](QProcess::ProcessError error) {
 		if (error == QProcess::FailedToStart) {
-			this->ended_by_itself = this->name + " could not be started: " + this->site.program;
+			this->unexpected_exit = this->name + " could not be started: " + this->environment.program;
 		}
 	});
 	QObject::connect(&this->process, &QProcess::finished, &this->process,
@@ -48,21 +48,22 @@
 
 void SoakNode::Start()
 {
-	this->stopping = this->killed = this->frozen = this->harmed = false;
-	this->process.start(QString::fromStdString(this->site.program), {"--settings", QString::fromStdString(this->file)});
+	this->stopping = this->killed = this->frozen = this->faulted = false;
+	this->process.start(QString::fromStdString(this->environment.program),
+						{"--settings", QString::fromStdString(this->file)});
 }
 
 void SoakNode::OnEnded(int code, QProcess::ExitStatus status)
 {
 	const bool asked = this->killed || (this->stopping && code == 0 && status == QProcess::NormalExit);
 	if (!asked) {
-		this->ended_by_itself = this->name + " ended with code " + std::to_string(code) +
+		this->unexpected_exit = this->name + " ended with code " + std::to_string(code) +
 								(status == QProcess::CrashExit ? " (crash)" : "");
 	}
 	if (!this->finishing) {
 		this->scheduler.After(this->pause, [this] { this->Start(); });
 	}
-	this->pause = RESTART_AFTER;
+	this->pause = RESTART_DELAY;
 }
 
 void SoakNode::Signal(int number)
@@ -75,7 +76,7 @@
 void SoakNode::Kill(Millis pause)
 {
 	this->pause = pause;
-	this->killed = this->harmed = true;
+	this->killed = this->faulted = true;
 	this->Signal(SIGKILL);
 }
 
@@ -90,7 +91,7 @@
 	if (this->frozen) {
 		return;
 	}
-	this->frozen = this->harmed = true;
+	this->frozen = this->faulted = true;
 	this->Signal(SIGSTOP);
 	this->scheduler.After(span, [this] {
 		this->frozen = false;
@@ -109,7 +110,7 @@
 	this->Stop();
 }
 
-bool SoakNode::Sound() const
+bool SoakNode::IsHealthy() const
 {
 	return this->process.state() == QProcess::Running && !this->stopping && !this->killed && !this->frozen;
 }
