--- a/tests/test_group.cpp
+++ b/tests/test_group.cpp
@@ -259,14 +259,14 @@
 	const auto eligible_count = [&world] {
 		return std::ranges::count_if(world.nodes, [](const auto &it) { return it->up && !it->member.IsStandby(); });
 	};
-	CHECK(eligible_count() == WorldNode::PARTS / 2);
+	CHECK(eligible_count() == WorldNode::PARTITION_COUNT / 2);
 	/* A standby node replaces each eligible node that dies. */
 	const auto first =
 			std::ranges::find_if(world.nodes, [](const auto &it) { return it->up && !it->member.IsStandby(); });
 	REQUIRE(first != world.nodes.end());
 	JobWorld::Kill(**first);
 	world.clock.RunUntil(Millis(20000));
-	CHECK(eligible_count() == WorldNode::PARTS / 2);
+	CHECK(eligible_count() == WorldNode::PARTITION_COUNT / 2);
 	for (const char *service : {"calc", "grid"}) {
 		CHECK(world.OwnerOf(ServiceName(service)) != nullptr);
 	}
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -210,7 +210,7 @@
 	world.clock.RunUntil(Millis(3000));
 	Millis paused(-1000000);
 	JobHttpHandler handler(
-			node.scheduler, node.desk, node.feed, [&paused] { return paused; },
+			node.scheduler, node.job_api, node.feed, [&paused] { return paused; },
 			[](const std::function<void(bool)> &done) { done(true); }, node.events);
 	CallerRequest request;
 	request.method = "POST";
@@ -228,7 +228,7 @@
 	newer.routes.push_back(newer.routes.front());
 	newer.routes.back().name = RouteName("r-new");
 	newer.routes.back().path_prefix = "/r-new/";
-	node.desk.Configure(newer);
+	node.job_api.Configure(newer);
 	world.clock.RunUntil(Millis(3500));
 	CHECK(after.status == 200);
 }
@@ -239,7 +239,7 @@
 	WorldNode &node = *world.nodes.front();
 	world.clock.RunUntil(Millis(3000));
 	JobHttpHandler handler(
-			node.scheduler, node.desk, node.feed, [] { return Millis(-1000000); },
+			node.scheduler, node.job_api, node.feed, [] { return Millis(-1000000); },
 			[](const std::function<void(bool)> &done) { done(true); }, node.events);
 	const auto make_request = [](const char *id, const char *wait) {
 		CallerRequest request;
--- a/tests/test_refusing_store.cpp
+++ b/tests/test_refusing_store.cpp
@@ -30,9 +30,10 @@
 void SubmitOnce(JobWorld &world, WorldNode &node, const WorldJob &job, SubmitResult &result)
 {
 	const Millis at = world.clock.Now();
-	node.desk.Submit(job.spec, job.service, node.scheduler.Now() + CALLER_WAIT, [&world, &result, at](ResultCode code) {
-		result = SubmitResult{code, world.clock.Now() - at};
-	});
+	node.job_api.Submit(job.spec, job.service, node.scheduler.Now() + CALLER_WAIT,
+						[&world, &result, at](ResultCode code) {
+							result = SubmitResult{code, world.clock.Now() - at};
+						});
 }
 
 bool IsRejected(const SubmitResult &result)
--- a/tests/test_silent_partition.cpp
+++ b/tests/test_silent_partition.cpp
@@ -111,8 +111,8 @@
 	WorldNode &new_node = world.Boot("node-new");
 	new_node.log.faults.silent_partitions.insert(JOURNAL);
 	/* The simulation delivers no frames, so only the address that the node would ask is checked. */
-	new_node.desk.Ask(JobQuestion{ServiceName("calc"), RouteName("r-calc"), job.spec.id, AccountName()},
-					  world.clock.Now() + Millis(1000), [](const JobAnswer &) {});
+	new_node.job_api.Ask(JobQuestion{ServiceName("calc"), RouteName("r-calc"), job.spec.id, AccountName()},
+						 world.clock.Now() + Millis(1000), [](const JobAnswer &) {});
 	world.clock.RunUntil(world.clock.Now() + Millis(1500));
 	CHECK(new_node.lookup.OwnerOf(JOURNAL) == world.OwnerOf(ServiceName("calc"))->name);
 }
