--- a/src/jobs/shard_boxes.cpp
+++ b/src/jobs/shard_boxes.cpp
@@ -73,7 +73,7 @@
 		return;
 	}
 	this->log.Write("box_report", {{"box", report.box.Value()},
-								   {"life", IncarnationText(report.incarnation)},
+								   {"incarnation", IncarnationText(report.incarnation)},
 								   {"cpu", std::to_string(report.capacity.cpu)},
 								   {"leaving", report.leaving ? "yes" : "no"}});
 	if (report.leaving && !was_leaving) {
@@ -100,7 +100,7 @@
 		}
 		box->listed = false;
 		this->boxes_changed = true;
-		this->log.Write("box_report_gone", {{"life", IncarnationText(box->report.incarnation)},
+		this->log.Write("box_report_gone", {{"incarnation", IncarnationText(box->report.incarnation)},
 											{"placed", std::to_string(box->placed.size())}});
 		this->ScheduleTurn();
 	}
@@ -319,8 +319,8 @@
 	if (box.has_predecessor) {
 		this->NoteLongestLease(box);
 	}
-	this->log.Write("box_adopted",
-					{{"life", IncarnationText(box.report.incarnation)}, {"placed", std::to_string(box.placed.size())}});
+	this->log.Write("box_adopted", {{"incarnation", IncarnationText(box.report.incarnation)},
+									{"placed", std::to_string(box.placed.size())}});
 	if (box.report.leaving) {
 		this->Evacuate(box);
 	}
@@ -329,7 +329,7 @@
 
 void Shard::OnLeaseFailed(ShardBox &box, OrderOutcome outcome)
 {
-	this->log.Write("box_silent", {{"life", IncarnationText(box.report.incarnation)},
+	this->log.Write("box_silent", {{"incarnation", IncarnationText(box.report.incarnation)},
 								   {"outcome", NameOf(outcome)},
 								   {"silent", box.unreachable ? "yes" : "no"},
 								   {"placed", std::to_string(box.placed.size())},
@@ -366,9 +366,9 @@
 
 void Shard::StopUnknownRun(ShardBox &box, const RunningRow &row)
 {
-	this->log.Write("stranger", {{"job", row.task.job.Value()},
-								 {"run", std::to_string(row.run.Value())},
-								 {"box", IncarnationText(box.report.incarnation)}});
+	this->log.Write("unknown_run", {{"job", row.task.job.Value()},
+									{"run", std::to_string(row.run.Value())},
+									{"box", IncarnationText(box.report.incarnation)}});
 	this->counters.stops++;
 	this->orders.Stop(box.report, row.task, row.run, box.fence, [](const OrderAnswer &) {
 		/* The next list shows whether the run is gone; it is stopped again until then. */
@@ -471,7 +471,7 @@
 	if (std::exchange(this->superseded, true)) {
 		return;
 	}
-	this->log.Write("deposed", {{"service", this->service.Value()}, {"fence", std::to_string(this->fence.Value())}});
+	this->log.Write("superseded", {{"service", this->service.Value()}, {"fence", std::to_string(this->fence.Value())}});
 	if (this->on_superseded) {
 		this->on_superseded();
 	}
--- a/src/jobs/shard_crashes.cpp
+++ b/src/jobs/shard_crashes.cpp
@@ -76,7 +76,7 @@
 void Shard::SpaceStarts()
 {
 	if (!this->StartsSpaced()) {
-		this->log.Write("starts_apart",
+		this->log.Write("starts_spaced",
 						{{"service", this->service.Value()}, {"for_ms", std::to_string(STARTS_SPACED_FOR.Value())}});
 	}
 	this->starts_spaced_until = this->scheduler.Now() + STARTS_SPACED_FOR;
@@ -135,8 +135,8 @@
 			return std::pair(-this->CountLasting(*it.box), it.free.cpu);
 		});
 		this->quarantine_box = box->box->report.incarnation;
-		this->log.Write("trial_box", {{"life", IncarnationText(*this->quarantine_box)},
-									  {"placed", std::to_string(box->box->placed.size())}});
+		this->log.Write("quarantine_box", {{"incarnation", IncarnationText(*this->quarantine_box)},
+										   {"placed", std::to_string(box->box->placed.size())}});
 	}
 	/* All waiting crash causes start there in one round; in a later round some would already have started. */
 	if (this->CountLasting(*box->box) == std::ssize(box->box->placed)) {
@@ -212,11 +212,11 @@
 {
 	const ShardJob &job = this->jobs.at(id.job);
 	const ShardTask &task = job.tasks[job.IndexOf(id)];
-	this->log.Write("crashed_under", {{"job", id.job.Value()},
+	this->log.Write("crash_counted", {{"job", id.job.Value()},
 									  {"task", std::to_string(job.IndexOf(id))},
 									  {"run", std::to_string(task.run.Value())},
-									  {"life", IncarnationText(box.report.incarnation)},
-									  {"lived_ms", std::to_string((box.answered_at - task.ordered_at).Value())},
+									  {"incarnation", IncarnationText(box.report.incarnation)},
+									  {"answered_for_ms", std::to_string((box.answered_at - task.ordered_at).Value())},
 									  {"last_start", last_start ? "yes" : "no"},
 									  {"crashes", std::to_string(task.crashes)},
 									  {"possible", std::to_string(task.crashes_possible)}});
--- a/src/jobs/shard_incarnations.cpp
+++ b/src/jobs/shard_incarnations.cpp
@@ -61,7 +61,7 @@
 	box.over = true;
 	this->counters.restarted += box.has_successor ? 1 : 0;
 	this->scheduler.Cancel(box.timer);
-	this->log.Write("box_over", {{"life", IncarnationText(box.report.incarnation)},
+	this->log.Write("box_over", {{"incarnation", IncarnationText(box.report.incarnation)},
 								 {"why", reason},
 								 {"placed", std::to_string(box.placed.size())},
 								 {"clock", std::to_string(box.clock.value_or(Millis(-1)).Value())},
--- a/src/jobs/shard_owner.cpp
+++ b/src/jobs/shard_owner.cpp
@@ -232,7 +232,7 @@
 
 void ShardOwner::LoseOwnership()
 {
-	this->context.events.Write("let_go", {{"service", this->service.Value()}});
+	this->context.events.Write("shard_lost", {{"service", this->service.Value()}});
 	this->running = false;
 	/* Claiming again by outdated group membership would compete with the new owner; the next join decides. */
 	if (this->on_lost) {
--- a/src/jobs/ticket_cache.cpp
+++ b/src/jobs/ticket_cache.cpp
@@ -66,8 +66,8 @@
 	this->events.Write("advice", {{"job", step.job.Value()},
 								  {"step", std::to_string(step.step)},
 								  {"code", SymbolOf(advice.code)},
-								  {"asked", std::to_string(requested.size())},
-								  {"good", std::to_string(advice.tickets.size())},
+								  {"requested", std::to_string(requested.size())},
+								  {"tickets", std::to_string(advice.tickets.size())},
 								  {"took_ms", std::to_string((this->scheduler.Now() - sent).Value())}});
 	const auto it = this->steps.find(step);
 	if (it != this->steps.end()) {
--- a/src/node/config_exchange.cpp
+++ b/src/node/config_exchange.cpp
@@ -81,7 +81,7 @@
 	this->configs_adopted += this->feed.ConfigVersion() > old_version ? 1 : 0;
 	this->events.Write("config_from_node", {{"node", from},
 											{"version", std::to_string(this->feed.ConfigVersion())},
-											{"before", std::to_string(old_version)},
+											{"old_version", std::to_string(old_version)},
 											{"age_ms", std::to_string(answer.age.Value())}});
 }
 
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -265,7 +265,7 @@
 void NodeCore::OnConfig(const JobConfig &config)
 {
 	this->interfaces.events.Write("config", {{"version", std::to_string(config.version)},
-											 {"before", std::to_string(this->api.Config().version)},
+											 {"old_version", std::to_string(this->api.Config().version)},
 											 {"routes", std::to_string(config.routes.size())},
 											 {"services", std::to_string(config.services.size())}});
 	this->api.Configure(config);
--- a/src/node/owner_lookup.cpp
+++ b/src/node/owner_lookup.cpp
@@ -66,9 +66,9 @@
 	const Millis now = this->scheduler.Now();
 	if (now >= it->second.deadline) {
 		this->events.Write("owner_silent",
-						   {{"what", it->second.subject},
+						   {{"subject", it->second.subject},
 							{"shard", it->second.shard.topic},
-							{"asked", it->second.asked_node.empty() ? "nobody" : it->second.asked_node}});
+							{"asked_node", it->second.asked_node.empty() ? "none" : it->second.asked_node}});
 		const bool sent = it->second.sent || it->second.earlier_unanswered;
 		this->Finish(number, sent ? ResultCode::RC_OUTCOME_UNKNOWN : ResultCode::RC_PEER_UNAVAILABLE, nullptr);
 		return;
@@ -181,7 +181,7 @@
 	owner.reading = false;
 	if (page.code != ResultCode::RC_OK) {
 		/* The last known owner remains the best guess. */
-		this->events.Write("owner_unknown", {{"shard", shard.topic}, {"code", SymbolOf(page.code)}});
+		this->events.Write("owner_read_failed", {{"shard", shard.topic}, {"code", SymbolOf(page.code)}});
 		return;
 	}
 	const auto it = std::ranges::find(page.records, OWNER_KEY, &KeyedRecord::key);
--- a/src/program/settings.cpp
+++ b/src/program/settings.cpp
@@ -183,7 +183,7 @@
 			if (spec == this->table.end()) {
 				this->Fail(pair.first, "unknown setting '" + name + "'");
 			} else if (this->out.settings.values.contains(name)) {
-				this->Fail(pair.first, "setting '" + name + "' stands twice");
+				this->Fail(pair.first, "setting '" + name + "' appears twice");
 			} else {
 				this->ReadValue(*spec, pair.second);
 			}
@@ -212,7 +212,7 @@
 	{
 		if (!node.IsScalar() || !IsValidValue(spec, node.as<std::string>())) {
 			const std::string found =
-					node.IsScalar() ? "'" + node.as<std::string>() + "'" : std::string("no single value");
+					node.IsScalar() ? "'" + node.as<std::string>() + "'" : std::string("no scalar value");
 			this->Fail(node, std::string(spec.name) + ": expected " + ExpectedOf(spec) + ", found " + found);
 		}
 	}
--- a/src/store/group_member.cpp
+++ b/src/store/group_member.cpp
@@ -144,7 +144,8 @@
 		return;
 	}
 	if (std::exchange(this->standby, false)) {
-		this->events.Write("group_wanted", {{"group", this->spec.group}, {"holders", std::to_string(rows.size())}});
+		this->events.Write("group_standby_ended",
+						   {{"group", this->spec.group}, {"holders", std::to_string(rows.size())}});
 	}
 	this->joined = true;
 	this->surplus_check_until = this->scheduler.Now() + SURPLUS_CHECK_TIME;
@@ -159,10 +160,10 @@
 		this->on_answer();
 		return;
 	}
-	this->events.Write("group_stand_by", {{"group", this->spec.group},
-										  {"why", reason},
-										  {"holders", std::to_string(HoldersWithCpu(0, rows).size())},
-										  {"own", std::to_string(this->spec.self.cpu)}});
+	this->events.Write("group_standby", {{"group", this->spec.group},
+										 {"why", reason},
+										 {"holders", std::to_string(HoldersWithCpu(0, rows).size())},
+										 {"own_cpu", std::to_string(this->spec.self.cpu)}});
 	if (!std::exchange(this->joined, false)) {
 		return;
 	}
@@ -216,8 +217,8 @@
 		for (const uint32_t part : this->parts) {
 			list += (list.empty() ? "" : ",") + std::to_string(part);
 		}
-		this->events.Write("group_dealt", {{"generation", std::to_string(this->generation)},
-										   {"partitions", list.empty() ? "-" : list}});
+		this->events.Write("group_assigned", {{"generation", std::to_string(this->generation)},
+											  {"partitions", list.empty() ? "-" : list}});
 		/* A new member may be much stronger. */
 		this->scheduler.Cancel(this->check_timer);
 		this->check_timer = this->scheduler.After(CHECK_INTERVAL, [this] { this->CheckHolders(); });
--- a/src/store/paired_journal.cpp
+++ b/src/store/paired_journal.cpp
@@ -124,7 +124,7 @@
 void PairedJournal::SendToSpare()
 {
 	if (!std::exchange(this->bypassing, true)) {
-		this->events.Write("journal_around", {{"topic", this->pair.main.topic},
+		this->events.Write("journal_bypass", {{"topic", this->pair.main.topic},
 											  {"part", std::to_string(this->pair.main.part)},
 											  {"waited_ms", std::to_string(this->MainTimeout().Value())}});
 	}
@@ -165,9 +165,9 @@
 	});
 	this->repeated.clear();
 	if (this->missing.empty() && std::exchange(this->bypassing, false)) {
-		this->events.Write("journal_back", {{"topic", this->pair.main.topic},
-											{"part", std::to_string(this->pair.main.part)},
-											{"detours", std::to_string(this->detours)}});
+		this->events.Write("journal_bypass_ended", {{"topic", this->pair.main.topic},
+													{"part", std::to_string(this->pair.main.part)},
+													{"detours", std::to_string(this->detours)}});
 	}
 }
 
