--- a/src/fleet/box_cmd.cpp
+++ b/src/fleet/box_cmd.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr uint64_t PERMIT_IDS_PER_RECORD = 65536; ///< More than the proposals of any record.
+constexpr uint64_t PERMIT_IDS_PER_RECORD = 65536; ///< Permit ids per log record; more than a record has proposals.
 
-/** Rule of a step: the states from which it is allowed and the state that it leads to. */
+/** Rule of a step: the states in which it is allowed and the state that it leads to. */
 struct StepRule {
 	BoxStepKind step;          ///< The step.
 	BoxState from;             ///< State from which it is allowed.
@@ -68,7 +68,7 @@
 }
 
 /**
- * Applies a step to a box. The caller has checked its preconditions.
+ * Applies a step to a box. The caller has checked that the step is allowed.
  * @param box The box.
  * @param rule Rule of the step.
  * @param now Log time.
@@ -106,7 +106,7 @@
 	return std::ranges::any_of(fleet.rows, [&](const auto &it) { return it.second.pool == pool; });
 }
 
-/** @return Refusal for a box that is not registered. */
+/** @return Refusal for a box that is not registered. @param name Name of the box. */
 Result UnknownBox(const std::string &name)
 {
 	return {ResultCode::RC_UNKNOWN_BOX, name};
@@ -193,7 +193,7 @@
 		(PoolName(command.move_to) == box.pool || !IsPool(fleet, PoolName(command.move_to)))) {
 		return {ResultCode::RC_UNKNOWN_POOL, command.move_to};
 	}
-	/* Taking down a box that accepts no work anyway does not reduce the capacity. */
+	/* Taking down a box that takes no work anyway doesn't reduce the capacity. */
 	if (TakesWork(box)) {
 		if (Result budget = CheckBudget(PoolModelOf(fleet, box.pool), box, command.urgent); !budget.Ok()) {
 			return budget;
@@ -236,7 +236,8 @@
 		return {ResultCode::RC_UNKNOWN_POOL, next.move_to.Value()};
 	}
 	if (rule->step == BoxStepKind::BK_EMPTIED) {
-		/* Each keeper reports the confirmations of its entries; the box is empty when all have confirmed. */
+		/* Each keeper reports the confirmations of its entries. Until all entries have confirmed, the box stays in
+		 * BS_DRAINING, and the step only adds the new confirmations. */
 		const size_t confirmed_before = next.confirmed.size();
 		next.confirmed.insert(command.confirmed.begin(), command.confirmed.end());
 		if (!IsDrained(fleet, next)) {
--- a/src/fleet/budget_func.cpp
+++ b/src/fleet/budget_func.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr std::array _guards = {Guard::GD_BOX, Guard::GD_RACK, Guard::GD_ZONE}; ///< Guards that need headroom.
+constexpr std::array _headroom_guards = {Guard::GD_BOX, Guard::GD_RACK, Guard::GD_ZONE}; ///< All but GD_NONE.
 
 /** Slots by failure domain, in a flat list: a pool has too few domains for a map to be faster. */
 class DomainSums {
 public:
 	/**
 	 * Adds slots to the sum of a domain.
-	 * @param key Number of the domain, from Box::SetDomains().
+	 * @param key Key of the domain: Box::zone_key or Box::rack_key.
 	 * @param slots Slots to add.
 	 */
 	void Add(uint64_t key, uint64_t slots)
@@ -37,17 +37,17 @@
 private:
 	/** Slots of one domain. */
 	struct Sum {
-		uint64_t key = 0;   ///< Number of the domain.
+		uint64_t key = 0;   ///< Key of the domain.
 		uint64_t slots = 0; ///< Its slots.
 	};
 
 	std::vector<Sum> sums; ///< All domains.
 };
 
-/** Boxes of a pool that are down, in the failure domains of one box. */
+/** Boxes of a pool that take no work, in the failure domains of one box. */
 struct DownCount {
-	uint32_t zone = 0; ///< Boxes down in the same availability zone.
-	uint32_t rack = 0; ///< Boxes down in the same rack.
+	uint32_t zone = 0; ///< Such boxes in the same availability zone.
+	uint32_t rack = 0; ///< Such boxes in the same rack, also included in `zone`.
 };
 
 /**
@@ -123,13 +123,13 @@
 	return models;
 }
 
-PoolCapacity CapacityOf(const PoolModel &pool, const BoxName *without)
+PoolCapacity CapacityOf(const PoolModel &pool, const BoxName *excluded)
 {
 	PoolCapacity capacity;
 	DomainSums racks;
 	DomainSums zones;
 	for (const Box &it : pool.boxes) {
-		if (!TakesWork(it) || (without != nullptr && it.name == *without)) {
+		if (!TakesWork(it) || (excluded != nullptr && it.name == *excluded)) {
 			continue;
 		}
 		const uint64_t slots = it.slots.Value();
@@ -148,7 +148,7 @@
 	PoolFloors floors;
 	for (const ServiceRow &row : pool.rows) {
 		for (int guard = 0; guard <= static_cast<int>(row.guard); guard++) {
-			floors.at_least[guard] += row.floor.Value();
+			floors.must_survive[guard] += row.floor.Value();
 		}
 	}
 	return floors;
@@ -159,16 +159,16 @@
 	if (capacity.up < floors.All()) {
 		return false;
 	}
-	return !with_headroom || std::ranges::all_of(_guards, [&](Guard guard) {
-		return capacity.up - capacity.LossOf(guard) >= floors.at_least[static_cast<int>(guard)];
+	return !with_headroom || std::ranges::all_of(_headroom_guards, [&](Guard guard) {
+		return capacity.up - capacity.LossOf(guard) >= floors.must_survive[static_cast<int>(guard)];
 	});
 }
 
 uint64_t HeadroomOf(const PoolCapacity &capacity, const PoolFloors &floors)
 {
 	uint64_t headroom = 0;
-	for (Guard guard : _guards) {
-		if (floors.at_least[static_cast<int>(guard)] > 0) {
+	for (Guard guard : _headroom_guards) {
+		if (floors.must_survive[static_cast<int>(guard)] > 0) {
 			headroom = std::max(headroom, capacity.LossOf(guard));
 		}
 	}
@@ -185,6 +185,7 @@
 													 (urgent ? "" : ", and headroom for the largest domain")};
 	}
 	const DownCount down = CountDownInDomains(pool, box);
+	/* A budget of 0 sets no limit. */
 	for (const ServiceRow &row : pool.rows) {
 		if (row.zone_budget != 0 && down.zone + 1 > row.zone_budget) {
 			return {ResultCode::RC_BUDGET_ZONE, "service " + row.service.Value() + ", zone " + box.zone.Value()};
--- a/src/fleet/budget_func.h
+++ b/src/fleet/budget_func.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <vector>
 
-/** Services and boxes of a pool. The boxes are copies: planners change them to evaluate a step before proposing it. */
+/** Services and boxes of a pool. The boxes are copies: planners change them to evaluate steps that they propose. */
 struct PoolModel {
 	PoolName name;                ///< The pool.
 	std::vector<ServiceRow> rows; ///< Rows of the services in the pool.
@@ -22,18 +22,19 @@
 	uint64_t largest_zone = 0; ///< Slots of the largest availability zone among them.
 
 	/**
-	 * @param guard A failure domain.
+	 * @param guard Kind of failure domain.
 	 * @return Slots lost when the largest domain of this kind fails, 0 for GD_NONE.
 	 */
 	[[nodiscard]] uint64_t LossOf(Guard guard) const;
 };
 
-/** Floors of a pool's services in slots, summed by the failure that they must survive. */
+/** Floors of a pool's services in slots, summed by the failure that they must survive. A floor that must survive the
+ * loss of a zone must survive the loss of a rack or box too, so it is part of several sums. */
 struct PoolFloors {
-	uint64_t at_least[4] = {0, 0, 0, 0}; ///< Floors of services with this guard or a stricter one; index: Guard.
+	uint64_t must_survive[4] = {0, 0, 0, 0}; ///< Sum of the floors with this guard or a stricter one; index: Guard.
 
 	/** @return Sum of all floors in slots. */
-	[[nodiscard]] uint64_t All() const { return this->at_least[static_cast<int>(Guard::GD_NONE)]; }
+	[[nodiscard]] uint64_t All() const { return this->must_survive[static_cast<int>(Guard::GD_NONE)]; }
 };
 
 /**
@@ -59,10 +60,10 @@
 /**
  * Sums the capacity of a pool.
  * @param pool The pool.
- * @param without Name of a box to count as down, or null.
+ * @param excluded Name of a box that is counted as down, or null.
  * @return Sums over the boxes that accept new work.
  */
-PoolCapacity CapacityOf(const PoolModel &pool, const BoxName *without = nullptr);
+PoolCapacity CapacityOf(const PoolModel &pool, const BoxName *excluded = nullptr);
 
 /**
  * @param pool The pool.
@@ -79,7 +80,9 @@
 bool FloorsHold(const PoolCapacity &capacity, const PoolFloors &floors, bool with_headroom);
 
 /**
- * Slots that a pool must keep idle for its guards: the largest loss among the guards of services with a floor.
+ * Computes the slots that a pool must keep idle for its guards: the largest loss among the guards of services with a
+ * floor. A pool that has this headroom on top of all floors also passes FloorsHold(), which counts for each failure
+ * only the floors that must survive it.
  * @param capacity Capacity of the pool.
  * @param floors Floors of its services.
  * @return Headroom in slots.
@@ -87,11 +90,11 @@
 uint64_t HeadroomOf(const PoolCapacity &capacity, const PoolFloors &floors);
 
 /**
- * Checks whether a box may be taken down for planned work. Boxes that are down for any reason count against the
- * budget, and so do boxes of unknown health. Urgent permits may use the headroom reserved for the next failure, but
- * never go below the floors.
+ * Checks whether a box may be taken down for planned work. Boxes that take no work for any reason (permit, set aside,
+ * failed, leaving, unknown health) have no capacity and count against the budgets of their zone and rack. Urgent
+ * permits may use the headroom reserved for the next failure, but never go below the floors.
  * @param pool The pool of the box.
- * @param box The box.
+ * @param box The box; the check counts it as down, whatever its state.
  * @param urgent Whether the permit is of the urgent class.
  * @return RC_OK, RC_BUDGET_FLOOR, RC_BUDGET_ZONE or RC_BUDGET_RACK.
  */
--- a/src/fleet/fleet_base.h
+++ b/src/fleet/fleet_base.h
@@ -20,8 +20,8 @@
 
 /** Row and column of a cell. */
 struct CellKey {
-	ServiceName service; ///< Row.
-	std::string column;  ///< Column, one of the names in table_func.h.
+	ServiceName service; ///< Service whose row it is.
+	std::string column;  ///< Name of the column, one of TableColumns().
 
 	auto operator<=>(const CellKey &) const = default;
 };
@@ -29,7 +29,7 @@
 /** Keeper that plans a region. */
 struct PlannerAssignment {
 	MemberName member; ///< Name of the keeper.
-	Term term;         ///< Increases each time that a keeper takes over.
+	Term term;         ///< Increases each time that a keeper takes over the region.
 
 	auto operator<=>(const PlannerAssignment &) const = default;
 };
@@ -44,16 +44,16 @@
 
 /** Last proposal of a writer that was decided: repeated appends are recognised by it and ignored. */
 struct WriterProgress {
-	Incarnation incarnation; ///< Latest incarnation that has written.
+	Incarnation incarnation; ///< Latest incarnation of the writer that has written.
 	uint64_t sequence = 0;   ///< Sequence number of the last proposal decided.
-	Millis last;             ///< Log time of that decision.
+	Millis last;             ///< Log time when it was decided.
 
 	auto operator<=>(const WriterProgress &) const = default;
 };
 
 /**
  * State of the fleet after applying the log up to `offset`. Deterministic: all processes at the same offset have the
- * same state and the same hash. So it uses no clock, no floating point and no containers with an order by hash.
+ * same state and the same hash. So it uses no clock, no floating point and no containers ordered by hash.
  *
  * Entities are changed only through Put() and Drop(), which update the hash. It is a sum of the hashes of all entities,
  * so the cost of a record depends on the entities that it changes, not on the size of the fleet.
@@ -65,7 +65,7 @@
 	uint32_t rule_version = 1;  ///< Rule version in force.
 	TableVersion table_version; ///< Table version in force.
 
-	std::map<CellKey, Cell> cells;                    ///< Cells of the table as published.
+	std::map<CellKey, Cell> cells;                    ///< Cells of the table as last published.
 	std::map<ServiceName, ServiceRow> rows;           ///< Compiled rows of the table; derived from `cells`, not hashed.
 	std::map<BoxName, Box> boxes;                     ///< Boxes by name.
 	std::map<MemberName, Member> members;             ///< Processes of the system by name.
@@ -97,7 +97,7 @@
 	/** @return Hash of the whole state; equal for all processes at the same offset. */
 	[[nodiscard]] uint64_t Hash() const;
 
-	/** Recomputes the hash and the derived maps after loading a snapshot. */
+	/** Recomputes the hash and the derived maps after a snapshot was loaded. */
 	void Rebuild();
 
 	/** @return Hash computed from all entities, to check the one that is updated record by record. */
--- a/src/fleet/fleet_func.cpp
+++ b/src/fleet/fleet_func.cpp
@@ -11,9 +11,10 @@
 using glade::wire::Change;
 using glade::wire::ChangeUnion;
 
-constexpr uint64_t SWEEP_INTERVAL_RECORDS = 1024;        ///< Records between two runs of RemoveExpired().
-constexpr Millis FINISHED_JOB_RETENTION(MS_PER_DAY);     ///< Time that a finished job is kept.
-constexpr Millis IDLE_WRITER_RETENTION(14 * MS_PER_DAY); ///< Longer than any retention of the log.
+constexpr uint64_t SWEEP_INTERVAL_RECORDS = 1024;    ///< Records between two runs of RemoveExpired().
+constexpr Millis FINISHED_JOB_RETENTION(MS_PER_DAY); ///< Time that a finished job is kept.
+constexpr Millis IDLE_WRITER_RETENTION(14 *
+									   MS_PER_DAY); ///< Time that an idle writer is kept; exceeds any log retention.
 
 /**
  * Converts a publication from the log to an edit.
@@ -34,7 +35,7 @@
 }
 
 /**
- * Checks by the last decided proposal of its writer whether a proposal is new.
+ * Checks whether a proposal is new, by the last proposal of its writer that was decided.
  * @param fleet The state.
  * @param id Id of the proposal.
  * @return RC_OK, RC_DUPLICATE, or RC_FENCED when a later incarnation has written.
@@ -52,7 +53,8 @@
 }
 
 /**
- * Removes old finished jobs and idle writers. Runs at fixed offsets, so that every process removes the same ones.
+ * Removes old finished jobs and idle writers that are no members. Runs at fixed offsets, so that every process removes
+ * the same ones.
  * @param fleet The state.
  */
 void RemoveExpired(FleetState &fleet)
--- a/src/fleet/fleet_func.h
+++ b/src/fleet/fleet_func.h
@@ -19,7 +19,7 @@
 struct ProposalId {
 	std::string writer;      ///< Name of the writer.
 	Incarnation incarnation; ///< Incarnation of the writer.
-	uint64_t sequence = 0;   ///< Number of the proposal within the incarnation.
+	uint64_t sequence = 0;   ///< Sequence number of the proposal within the incarnation.
 
 	auto operator<=>(const ProposalId &) const = default;
 
@@ -41,7 +41,7 @@
 struct CommandContext {
 	CommandMode mode = CommandMode::CM_EXECUTE; ///< Whether to check only, or to check and change.
 	LogOffset offset;                           ///< Offset of the record being applied.
-	uint32_t index = 0;                         ///< Index of the proposal in its batch.
+	uint32_t index = 0;                         ///< Index of the proposal in its batch, from 0.
 	std::string writer;                         ///< Name of the writer.
 	Incarnation incarnation;                    ///< Incarnation of the writer.
 	RegionName region;                          ///< Region that the writer plans, empty when it plans none.
--- a/src/fleet/fleet_hash.cpp
+++ b/src/fleet/fleet_hash.cpp
@@ -11,6 +11,7 @@
 /** Serialises the fields of an entity in a fixed byte order and hashes them. */
 class EntityHasher {
 public:
+	/** @param kind Distinguishes kinds of entities, so that equal fields of two kinds have different hashes. */
 	explicit EntityHasher(char kind) { this->buf.push_back(kind); }
 
 	EntityHasher &Add(uint64_t n)
@@ -171,7 +172,7 @@
 
 void FleetState::AddJobUnits(const Job &job, int sign)
 {
-	/* The box of a job in JS_UNKNOWN may only be paused, so the attempt still uses its box and its team's quota. */
+	/* A job in JS_UNKNOWN may still run on its box, so it still uses the box and its team's quota. */
 	if (job.state != JobState::JS_PLACED && job.state != JobState::JS_UNKNOWN) {
 		return;
 	}
--- a/src/fleet/fleet_hash.h
+++ b/src/fleet/fleet_hash.h
@@ -5,7 +5,7 @@
 #include "fleet_base.h"
 
 /**
- * Computes the XXH3 hash of an entity and its key, with all fields in a fixed order.
+ * Computes the XXH3 hash of an entity and its key: all fields but derived ones, in a fixed order.
  * @param key Key in its map.
  * @param value The entity.
  * @return Hash of 64 bits.
--- a/src/fleet/fleet_type.h
+++ b/src/fleet/fleet_type.h
@@ -40,7 +40,7 @@
 	BK_VERIFIED = 4,    ///< Checks passed; the permit ends.
 	BK_CHANGE_POOL = 5, ///< An empty box changes its pool; the permit ends.
 	BK_WITHDRAW = 6,    ///< Before the reboot: the permit ends and the box serves again.
-	BK_SET_ASIDE = 7,   ///< Checks failed or work fails on the box.
+	BK_SET_ASIDE = 7,   ///< Checks fail after the reboot; the permit ends.
 	BK_RESTORE = 8,     ///< A box that was set aside serves again.
 };
 
@@ -51,12 +51,12 @@
 	WC_BATCH = 2,  ///< May be delayed, but must not be lost.
 };
 
-/** Largest failure domain whose loss a service's floor must survive. */
+/** Largest failure that a service's floor must survive. */
 enum class Guard : uint8_t {
-	GD_NONE = 0, ///< No headroom.
-	GD_BOX = 1,  ///< The largest box left.
-	GD_RACK = 2, ///< The largest rack left.
-	GD_ZONE = 3, ///< The largest availability zone left.
+	GD_NONE = 0, ///< None: the floor needs no headroom.
+	GD_BOX = 1,  ///< Loss of the largest box that takes work.
+	GD_RACK = 2, ///< Loss of the largest rack, by slots that take work.
+	GD_ZONE = 3, ///< Loss of the largest availability zone, by slots that take work.
 };
 
 /** Role of a process of the system. */
@@ -67,11 +67,11 @@
 
 /** State of a job. */
 enum class JobState : uint8_t {
-	JS_WAITING = 0,   ///< Accepted, not placed on a box.
-	JS_PLACED = 1,    ///< An attempt holds a lease on a box.
-	JS_DONE = 2,      ///< Completed.
-	JS_UNKNOWN = 3,   ///< Its lease expired, but the box may only be paused; not repeatable, so not placed again.
-	JS_PARKED = 4,    ///< Failed on several healthy boxes or not repeatable; reported to its owner, not retried.
+	JS_WAITING = 0, ///< Accepted, not placed on a box.
+	JS_PLACED = 1,  ///< An attempt holds a lease on a box.
+	JS_DONE = 2,    ///< Completed.
+	JS_UNKNOWN = 3, ///< Not repeatable, and its lease expired while it may still run; not placed again.
+	JS_PARKED = 4,  ///< Failed on several boxes, or failed or stopped and not repeatable; its owner is told, no retry.
 	JS_CANCELLED = 5, ///< Cancelled by its owner.
 };
 
@@ -107,8 +107,8 @@
 	Millis last_maintained;                         ///< When it was last verified after a reboot, 0 for never.
 	std::set<std::string> confirmed;                ///< Entries of its zone that confirmed this drain.
 	Millis since;                                   ///< When `state` was entered.
-	uint32_t strikes = 0;                           ///< Distinct jobs that failed on it since the last success.
-	std::set<std::string> strike_jobs;              ///< Names of these jobs.
+	uint32_t strikes = 0;                           ///< Distinct jobs that failed on it since a job succeeded there.
+	std::set<std::string> strike_jobs;              ///< Names of the jobs counted by `strikes`.
 
 	auto operator<=>(const Box &) const = default;
 
@@ -124,7 +124,7 @@
 struct ServiceRow {
 	ServiceName service;                         ///< Service that the row describes.
 	PoolName pool;                               ///< Pool that serves it.
-	uint32_t weight = 1;                         ///< Share of capacity above the floors.
+	uint32_t weight = 1;                         ///< Weight in the division of capacity above the floors.
 	Slots floor;                                 ///< Slots that must stay available.
 	Slots ceiling;                               ///< Maximum of slots that it may use.
 	WorkClass work_class = WorkClass::WC_NORMAL; ///< Class of its requests.
@@ -146,7 +146,7 @@
 	std::string frames;                     ///< IP:port where entries of the zone exchange slots.
 	Incarnation incarnation;                ///< Incarnation of the process.
 	Millis since;                           ///< Log time of the join.
-	uint32_t rules = 1;                     ///< Newest rule version that it supports.
+	uint32_t rules = 1;                     ///< Newest version of the rules for applying records that it supports.
 	std::set<std::string> witnesses;        ///< Keepers that reported its lease as expired.
 
 	auto operator<=>(const Member &) const = default;
@@ -170,7 +170,7 @@
 	auto operator<=>(const Job &) const = default;
 };
 
-inline constexpr uint32_t STRIKES_TO_SET_ASIDE = 3; ///< Distinct jobs that fail on a box until it is set aside.
-inline constexpr uint32_t FAILURES_TO_PARK = 3;     ///< Distinct healthy boxes on which a job fails until it is parked.
+inline constexpr uint32_t STRIKES_TO_SET_ASIDE = 3; ///< Distinct jobs whose failures set a box aside.
+inline constexpr uint32_t FAILURES_TO_PARK = 3;     ///< Distinct boxes whose failures park a job.
 
 #endif /* FLEET_TYPE_H */
--- a/src/fleet/job_cmd.cpp
+++ b/src/fleet/job_cmd.cpp
@@ -5,7 +5,8 @@
 
 namespace {
 
-/** @return Job units of a key in a map, 0 when the map does not have it. */
+/** @return Job units of a key in a map, 0 when the map doesn't have it. @param map Job units by key. @param key The
+ * key. */
 template <class Key>
 uint32_t UnitsOf(const std::map<Key, uint32_t> &map, const Key &key)
 {
@@ -21,7 +22,8 @@
 void RecordStrike(FleetState &fleet, const Job &job)
 {
 	const auto old = fleet.boxes.find(job.box);
-	/* A parked job has failed on healthy boxes too, so its failure says nothing about this one. */
+	/* The failure that parks a job doesn't count: a job that fails on several boxes says nothing about this one. The
+	 * failure of a job that isn't repeatable parks it and so doesn't count either. */
 	if (old == fleet.boxes.end() || old->second.epoch != job.box_epoch || job.state == JobState::JS_PARKED) {
 		return;
 	}
@@ -194,7 +196,8 @@
 	if (context.mode == CommandMode::CM_TEST) {
 		return {};
 	}
-	/* One record cancels many jobs. Finished jobs are skipped, so the command is idempotent. */
+	/* One record cancels many jobs. Jobs that are neither waiting nor placed are skipped, so the command is
+	 * idempotent. */
 	for (const std::string &name : command.jobs) {
 		const auto old = fleet.jobs.find(JobName(name));
 		if (old == fleet.jobs.end()) {
--- a/src/fleet/member_cmd.cpp
+++ b/src/fleet/member_cmd.cpp
@@ -8,7 +8,7 @@
 
 /**
  * @param fleet The state.
- * @param member A member whose lease is reported as expired.
+ * @param member Member whose lease is reported as expired.
  * @param witnesses Keepers that reported it.
  * @return Whether every other keeper of its zone is among them.
  */
@@ -23,7 +23,8 @@
 }
 
 /**
- * Checks that the writer may propose changes of a member: its own, or as a keeper those of members of its zone.
+ * Checks whether the writer may propose joins and leaves of a member: a member may for itself, and a keeper for any
+ * member of its zone.
  * @param context Context of the command, with the writer.
  * @param fleet The state.
  * @param member Name of the member.
@@ -40,7 +41,7 @@
 }
 
 /**
- * Counts a join or leave of an entry, which may change the owners of keys. Ignores other members.
+ * Counts a join or leave of an entry, which may change the owners of keys. Joins and leaves of keepers aren't counted.
  * @param fleet The state.
  * @param member The member that joined or left.
  */
--- a/src/fleet/snapshot_func.h
+++ b/src/fleet/snapshot_func.h
@@ -8,7 +8,7 @@
 #include <string>
 
 inline constexpr uint32_t SNAPSHOT_FORMAT = 1;            ///< Format version that this program writes.
-inline constexpr size_t SNAPSHOT_CHUNK_BYTES = 48 * 1024; ///< Maximum size of a chunk; fits into a batch of LogWriter.
+inline constexpr size_t SNAPSHOT_CHUNK_BYTES = 48 * 1024; ///< Maximum bytes of a chunk; fits into a batch of LogWriter.
 
 /**
  * Encodes a state.
@@ -28,14 +28,14 @@
 /**
  * Splits a snapshot into chunks for the log.
  * @param bytes The snapshot.
- * @param fleet State of the snapshot; gives base offset and hash.
+ * @param fleet State in the snapshot; its offset and hash go into each chunk.
  * @return A proposal per chunk, in order.
  */
 std::vector<std::unique_ptr<glade::wire::ProposalT>> SplitSnapshot(const std::string &bytes, const FleetState &fleet);
 
 /**
- * Assembles snapshots from chunks of one or several writers, and keeps the first complete one of the highest base
- * offset.
+ * Assembles snapshots from chunks of one or several writers. Keeps the valid one with the highest base offset; of
+ * several at that offset, the first that was complete.
  */
 class SnapshotCollector {
 public:
@@ -45,7 +45,7 @@
 	 */
 	void Add(const LogRecord &record);
 
-	/** @return The newest complete snapshot with a matching hash. */
+	/** @return State of the newest complete snapshot with a matching hash; nothing when there is none. */
 	[[nodiscard]] const std::optional<FleetState> &Newest() const { return this->newest; }
 
 	/** @return Base offset of the newest complete snapshot, 0 for none. */
@@ -62,7 +62,7 @@
 	};
 
 	std::map<Source, std::map<uint32_t, std::string>> partial; ///< Chunks of incomplete snapshots, by index.
-	std::optional<FleetState> newest;                          ///< Newest complete snapshot.
+	std::optional<FleetState> newest;                          ///< State of the newest complete snapshot.
 
 	void AddChunk(const Source &source, const glade::wire::SnapshotChunkT &chunk);
 };
--- a/src/fleet/table_func.cpp
+++ b/src/fleet/table_func.cpp
@@ -157,7 +157,7 @@
 	return fields;
 }
 
-/** @return Result of reading a table file that has an error in a line. */
+/** @return Result of reading a table file that has an error. @param line Its line, from 1. @param what The error. */
 TableFile FileError(int line, const std::string &what)
 {
 	return {Result{ResultCode::RC_TABLE_FILE, "line " + std::to_string(line) + ": " + what}, {}};
@@ -278,7 +278,7 @@
 	if (mode == CommandMode::CM_TEST) {
 		return {};
 	}
-	/* Changes go through Put() and Drop() cell by cell, which update the hash of the state. */
+	/* Cells are changed one by one through Put() and Drop(), which update the hash of the state. */
 	std::vector<CellKey> removed_keys;
 	for (const auto &[key, cell] : fleet.cells) {
 		if (!merged.contains(key)) {
--- a/src/fleet/table_func.h
+++ b/src/fleet/table_func.h
@@ -53,7 +53,7 @@
 CompiledTable CompileRows(const std::map<CellKey, Cell> &cells);
 
 /**
- * Checks that the floors of a table fit into the slots of all boxes.
+ * Checks that the floors of a table together don't exceed the slots of all boxes, whatever their state.
  * @param rows Compiled rows.
  * @param boxes All boxes; without any, every table is accepted, so that one can be published before the first box
  * registers.
@@ -87,7 +87,8 @@
 std::string WriteTableCsv(const std::map<CellKey, Cell> &cells);
 
 /**
- * Computes the difference between the published table and a file.
+ * Computes the difference between the published table and a file. Services that the file lacks are removed; columns
+ * that it lacks stay as published.
  * @param cells The published table.
  * @param file Cells of the file.
  * @param base Version of the published table.
--- a/src/planner/job_plan.cpp
+++ b/src/planner/job_plan.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-constexpr uint64_t SHARE_SCALE = 1000000; ///< Millionths in a whole: unit of a team's use of its quota.
+constexpr uint64_t SHARE_SCALE = 1000000; ///< Millionths in a whole: unit of TeamQueue::Share().
 
 /** Room for jobs on a box. */
 struct BoxRoom {
 	const Box *box = nullptr; ///< The box.
-	uint32_t free = 0;        ///< Units free.
+	uint32_t free = 0;        ///< Job units free; a box has one per slot.
 };
 
-/** Room on the boxes, most recently maintained boxes first, so that boxes due soon become empty without a drain. */
+/** Room on the boxes that take work. The most recently maintained come first, so that boxes due for maintenance soon
+ * become empty without a drain. */
 class RoomList {
 public:
 	RoomList(const FleetState &fleet, const PlannerPolicy &policy)
@@ -42,7 +43,7 @@
 	}
 
 	/**
-	 * Allocates room for a job, on a box where it hasn't failed.
+	 * Allocates room for a job, on a box where it hasn't failed. Leaves the reserve free unless the job is urgent.
 	 * @param job The job.
 	 * @return The box, or null when there is no room.
 	 */
@@ -69,8 +70,8 @@
 
 private:
 	std::vector<BoxRoom> rooms; ///< Boxes with room, best first.
-	uint32_t free = 0;          ///< Units free on all of them.
-	uint32_t reserve = 0;       ///< Units that only urgent jobs may take.
+	uint32_t free = 0;          ///< Job units free on all of them.
+	uint32_t reserve = 0;       ///< Job units that only urgent jobs may take.
 };
 
 /** Waiting jobs of a team in one class, and the team's use of its quota. */
@@ -86,7 +87,7 @@
 };
 
 /**
- * Sorts waiting jobs by class and team.
+ * Sorts waiting jobs into queues by class and team.
  * @param fleet The fleet's state.
  * @return Queues by class, most urgent first.
  */
@@ -127,7 +128,7 @@
 	return MakeProposal(std::move(record));
 }
 
-/** Places the jobs of one class, the team with the smallest share first. */
+/** Places the jobs of one class, always the next job of the team with the smallest Share(). */
 class ClassPlacer {
 public:
 	ClassPlacer(RoomList &rooms, std::map<TeamName, uint32_t> &used, JobPlan &plan, size_t limit)
@@ -136,7 +137,7 @@
 	}
 
 	/**
-	 * Places the jobs that fit.
+	 * Places the jobs that fit, until the limit is reached.
 	 * @param teams Queues of the class.
 	 * @return Units of the jobs within their teams' quotas that found no room.
 	 */
@@ -171,7 +172,7 @@
 	/**
 	 * Places the next job of a team.
 	 * @param queue The team's queue.
-	 * @return Units of the job when it found no room, else 0.
+	 * @return Units of the job when it is within the quota but found no room, else 0.
 	 */
 	uint32_t PlaceNext(TeamQueue &queue)
 	{
@@ -220,7 +221,8 @@
 }
 
 /**
- * Finds jobs to stop on boxes that have been draining too long. Jobs that may not be repeated run to their end.
+ * Finds jobs to stop on boxes that have been draining for the grace period. Jobs that may not be repeated run to their
+ * end.
  * @param fleet The fleet's state.
  * @param policy Policy, for how long jobs of a draining box may run.
  * @return Jobs to stop.
--- a/src/planner/pool_plan.cpp
+++ b/src/planner/pool_plan.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr uint64_t PERCENT = 100;   ///< Hundredths in a whole.
-constexpr int64_t DONOR_WEIGHT = 4; ///< Weight of the donor's remaining margin in the score of a move.
+constexpr uint64_t PERCENT = 100;   ///< Percent in a whole.
+constexpr int64_t DONOR_WEIGHT = 4; ///< Weight of the donor's remaining margin in a move's score, besides MoveScore().
 
 /**
  * Computes the demand of a pool: its floors, or its observed use (up to its ceilings) if that is more.
@@ -27,20 +27,20 @@
 }
 
 /**
- * Projects a pool to the end of everything in progress: moves have arrived, maintenance is over, boxes that failed
- * recently are back.
+ * Projects a pool to the time when all that is in progress has ended: boxes under maintenance and boxes that failed
+ * recently take work again, boxes that move to the pool have arrived, and boxes that move away take no work.
  * @param draft All pools.
  * @param pool One of them.
- * @param failed_after Boxes that failed after this log time count as coming back.
+ * @param failed_after Boxes that failed at this log time or later count as coming back.
  * @return The projected copy of the pool.
  */
 PoolModel ProjectPool(const PoolDraft &draft, const PoolModel &pool, Millis failed_after)
 {
 	PoolModel projected = pool;
 	for (Box &box : projected.boxes) {
-		const bool maintained = box.purpose == PermitPurpose::PP_MAINTAIN;
-		const bool failed_just_now = box.health != BoxHealth::BH_UP && box.health_since >= failed_after;
-		if ((maintained || box.state == BoxState::BS_SERVING) && (maintained || failed_just_now)) {
+		const bool in_maintenance = box.purpose == PermitPurpose::PP_MAINTAIN;
+		const bool failed_recently = box.health != BoxHealth::BH_UP && box.health_since >= failed_after;
+		if ((in_maintenance || box.state == BoxState::BS_SERVING) && (in_maintenance || failed_recently)) {
 			box.state = BoxState::BS_SERVING;
 			box.health = BoxHealth::BH_UP;
 		}
@@ -58,7 +58,7 @@
 }
 
 /**
- * Computes how far a pool's capacity exceeds its demand, guards and spare boxes.
+ * Computes how far a pool's capacity exceeds its demand plus the headroom for its guards and the spare boxes.
  * @param pool The projected pool.
  * @param demand Slots that it should be able to use.
  * @param spare_boxes Boxes that maintenance may take at once.
@@ -73,16 +73,16 @@
 	return static_cast<int64_t>(capacity.up) - static_cast<int64_t>(demand + headroom + spare);
 }
 
-/** Slots of a pool that take work, in the failure domains of a box. */
+/** Slots of a pool's boxes that take work, in the failure domains of one box. */
 struct DomainSlots {
-	uint64_t in_zone = 0; ///< In its availability zone.
-	uint64_t in_rack = 0; ///< In its rack.
+	uint64_t in_zone = 0; ///< Slots in the box's availability zone.
+	uint64_t in_rack = 0; ///< Slots in the box's rack, also included in `in_zone`.
 };
 
 /**
- * Counts a pool's slots that take work in the failure domains of a box.
+ * Counts the slots of a pool's boxes that take work in the failure domains of one box.
  * @param pool The pool.
- * @param box The box; it counts too if it is in the pool.
+ * @param box The box; it counts too if it is in the pool and takes work.
  * @return The slots.
  */
 DomainSlots CountDomainSlots(const PoolModel &pool, const Box &box)
@@ -108,22 +108,23 @@
 	return weight;
 }
 
-/** Number of failure domains of the fleet, and its slots. */
+/** Failure domains and slots of the whole fleet, whatever the state of its boxes. */
 struct DomainCounts {
-	uint64_t zones = 0; ///< Availability zones with boxes.
-	uint64_t racks = 0; ///< Racks with boxes.
-	uint64_t slots = 0; ///< Slots of all boxes.
-	uint64_t box = 0;   ///< Slots of the largest box.
+	uint64_t zones = 0;         ///< Availability zones with boxes.
+	uint64_t racks = 0;         ///< Racks with boxes.
+	uint64_t slots = 0;         ///< Slots of all boxes.
+	uint64_t max_box_slots = 0; ///< Slots of the largest box.
 };
 
 /**
- * Computes the slots that a pool needs if its boxes are spread evenly. For each guard, the floors must survive the loss
- * of one of n domains, which takes n / (n - 1) times the floors. Maintenance needs spare boxes on top.
+ * Computes the slots that a pool needs if its boxes are spread evenly. To survive the loss of one of n racks or zones
+ * takes n / (n - 1) times the floors with that guard, and twice the floors when there is only one such domain; to
+ * survive the loss of a box takes the slots of the largest box on top. Maintenance needs spare boxes on top of that.
  * @param pool The pool.
  * @param demand Slots that it should be able to use.
- * @param counts Failure domains.
+ * @param counts Failure domains and slots of the fleet.
  * @param spare_boxes Boxes that maintenance may take at once.
- * @return Slots.
+ * @return The slots needed; 0 without demand.
  */
 uint64_t NeedOf(const PoolModel &pool, uint64_t demand, const DomainCounts &counts, uint32_t spare_boxes)
 {
@@ -132,16 +133,17 @@
 		return domains < 2 ? 2 * slots : (slots * domains + domains - 2) / (domains - 1);
 	};
 	uint64_t need = demand;
-	need = std::max(need, floors.at_least[static_cast<int>(Guard::GD_BOX)] + counts.box);
-	need = std::max(need, slots_to_survive(floors.at_least[static_cast<int>(Guard::GD_RACK)], counts.racks));
-	need = std::max(need, slots_to_survive(floors.at_least[static_cast<int>(Guard::GD_ZONE)], counts.zones));
-	return demand == 0 ? 0 : need + spare_boxes * counts.box;
+	need = std::max(need, floors.must_survive[static_cast<int>(Guard::GD_BOX)] + counts.max_box_slots);
+	need = std::max(need, slots_to_survive(floors.must_survive[static_cast<int>(Guard::GD_RACK)], counts.racks));
+	need = std::max(need, slots_to_survive(floors.must_survive[static_cast<int>(Guard::GD_ZONE)], counts.zones));
+	return demand == 0 ? 0 : need + spare_boxes * counts.max_box_slots;
 }
 
 /**
- * Splits all slots among the pools: first what each needs, then the rest by weight.
+ * Computes targets of pools: what each needs, plus a part by weight of the slots that the needs leave over. When the
+ * fleet has fewer slots than the pools need, the targets exceed it.
  * @param draft All pools.
- * @param counts Failure domains.
+ * @param counts Failure domains and slots of the fleet.
  * @param policy Policy, of which the spare boxes are used.
  * @param observed Observed use by pool, in slots.
  * @return Target by pool, in slots, at least 1; only pools with services have one.
@@ -168,7 +170,7 @@
 }
 
 /**
- * Counts the failure domains of a draft.
+ * Counts the failure domains and slots of a draft.
  * @param draft All pools.
  * @return The counts.
  */
@@ -182,7 +184,7 @@
 			zones.insert(box.zone_key);
 			racks.insert(box.rack_key);
 			counts.slots += box.slots.Value();
-			counts.box = std::max<uint64_t>(counts.box, box.slots.Value());
+			counts.max_box_slots = std::max<uint64_t>(counts.max_box_slots, box.slots.Value());
 		}
 	}
 	counts.zones = zones.size();
@@ -190,17 +192,18 @@
 	return counts;
 }
 
-/** How full a pool would be with a new box, as a whole and in the box's zone; the lowest value wins. */
+/** How full a pool would be with half of a new box, as a whole and in the box's zone. The pool with the lowest value
+ * gets the box. */
 struct Fullness {
-	uint64_t millionths = 0; ///< Slots relative to the target, plus the same for the zone alone.
-	uint64_t in_rack = 0;    ///< The pool's slots in the rack of the box.
-	PoolName name;           ///< The pool; makes the order total.
+	uint64_t fill_millionths = 0; ///< Slots relative to the target, plus the zone's relative to its even part.
+	uint64_t in_rack = 0;         ///< The pool's slots in the rack of the box.
+	PoolName name;                ///< The pool; makes the order total.
 
 	auto operator<=>(const Fullness &) const = default;
 };
 
 /**
- * Computes how full a pool would be with a new box.
+ * Computes how full a pool would be with half of a new box.
  * @param pool The pool.
  * @param box The box.
  * @param target Target of the pool, in slots.
@@ -214,11 +217,12 @@
 	for (const Box &it : pool.boxes) {
 		all += it.slots.Value();
 	}
-	/* Count half of the new box, so that rounding favours no pool. */
+	/* Half of the new box, as in the Webster method of apportionment: the whole box would favour pools with large
+	 * targets, and none of it pools with small ones. */
 	const uint64_t half = box.slots.Value() / 2;
 	const DomainSlots domain_slots = CountDomainSlots(pool, box);
 	Fullness fullness;
-	fullness.millionths = ((all + half) + (domain_slots.in_zone + half) * zones) * MILLION / target;
+	fullness.fill_millionths = ((all + half) + (domain_slots.in_zone + half) * zones) * MILLION / target;
 	fullness.in_rack = domain_slots.in_rack;
 	fullness.name = pool.name;
 	return fullness;
@@ -227,8 +231,8 @@
 /**
  * Builds the state of a newly registered box.
  * @param box The listed box.
- * @param pool Its pool.
- * @return The box.
+ * @param pool Its pool; empty while none is chosen.
+ * @return The box, as taking work.
  */
 Box NewBox(const ListedBox &box, const PoolName &pool)
 {
@@ -250,7 +254,7 @@
 	 */
 	PoolChooser(PoolDraft draft, const std::vector<ListedBox> &list) : draft(std::move(draft))
 	{
-		PoolDraft whole = this->draft;
+		PoolDraft with_new_boxes = this->draft;
 		std::set<BoxName> known;
 		for (const auto &[name, pool] : this->draft) {
 			for (const Box &box : pool.boxes) {
@@ -259,10 +263,11 @@
 		}
 		for (const ListedBox &it : list) {
 			if (!known.contains(it.name)) {
-				whole[PoolName()].boxes.push_back(NewBox(it, PoolName()));
+				with_new_boxes[PoolName()].boxes.push_back(NewBox(it, PoolName()));
 			}
 		}
-		this->counts = CountDomains(whole);
+		/* All new boxes count in the fleet's domains and slots, in a pool without a name until one is chosen. */
+		this->counts = CountDomains(with_new_boxes);
 		this->targets = TargetsOf(this->draft, this->counts, PlannerPolicy(), {});
 	}
 
@@ -287,19 +292,19 @@
 
 private:
 	PoolDraft draft;                      ///< The pools, with the boxes added so far.
-	DomainCounts counts;                  ///< Failure domains.
+	DomainCounts counts;                  ///< Failure domains and slots of the fleet, with all new boxes.
 	std::map<PoolName, uint64_t> targets; ///< Target by pool, in slots.
 };
 
 /** A possible move of a box. */
 struct MoveChoice {
-	PoolModel *from = nullptr; ///< The donor.
-	Box *box = nullptr;        ///< The box.
+	PoolModel *from = nullptr; ///< The donor; null when no move is possible.
+	Box *box = nullptr;        ///< The box in the draft; null when no move is possible.
 	int64_t score = 0;         ///< Larger is better.
 };
 
 /**
- * Scores the move of a box by failure domains: higher if the donor has many slots there and the receiver few.
+ * Scores the move of a box by its zone and rack: higher if the donor has many slots there and the receiver few.
  * @param donor Pool that the box would leave.
  * @param receiver Pool that it would join.
  * @param box The box.
@@ -307,11 +312,11 @@
  */
 int64_t MoveScore(const PoolModel &donor, const PoolModel &receiver, const Box &box)
 {
-	const auto crowding = [&](const PoolModel &pool) {
+	const auto concentration = [&](const PoolModel &pool) {
 		const DomainSlots slots = CountDomainSlots(pool, box);
 		return static_cast<int64_t>(2 * slots.in_zone + slots.in_rack);
 	};
-	return crowding(donor) - crowding(receiver);
+	return concentration(donor) - concentration(receiver);
 }
 
 /** Inputs for the choice of moves. */
@@ -321,28 +326,28 @@
 	const std::map<PoolName, uint64_t> &observed; ///< Observed use by pool, in slots.
 	Millis now;                                   ///< Log time.
 
-	/** @return The pool projected to the end of everything in progress. @param pool The pool. */
+	/** @return The projection of a pool by ProjectPool(). @param pool The pool. */
 	[[nodiscard]] PoolModel Projected(const PoolModel &pool) const
 	{
 		return ProjectPool(this->draft, pool, this->now - this->policy.failure_grace);
 	}
 
-	/** @return Slots of a pool above its demand and guards; negative when it is short. @param pool The pool. */
+	/** @return Slots of a pool above its demand and headroom; negative when it is short. @param pool The pool. */
 	[[nodiscard]] int64_t Margin(const PoolModel &pool) const
 	{
 		return MarginOf(pool, DemandOf(pool, this->observed), 0);
 	}
 };
 
-/** A pool with spare slots. */
+/** A pool whose projection has slots above its demand and headroom. */
 struct Donor {
 	PoolModel *pool = nullptr; ///< The pool.
-	PoolModel projected;       ///< The projected pool.
+	PoolModel projected;       ///< Its projection, see ProjectPool().
 };
 
 /**
  * @param context Pools, policy and observed use.
- * @return Pools with spare slots once everything in progress has ended.
+ * @return Pools whose projections have slots above their demand and headroom.
  */
 std::vector<Donor> DonorsOf(const MoveContext &context)
 {
@@ -357,10 +362,10 @@
 }
 
 /**
- * Finds the best box to move into a pool, by the margin that is left to the donor and by failure domains.
+ * Finds the best box to move to a pool, by the margin that is left to the donor and by failure domains.
  * @param context Pools, policy and observed use.
- * @param donors Pools with spare slots.
- * @param receiver The pool that is short.
+ * @param donors Pools with spare slots; unchanged when the call returns.
+ * @param receiver The pool that gets the box.
  * @return The choice; `box` is null when no donor can spare a box.
  */
 MoveChoice FindMove(const MoveContext &context, std::vector<Donor> &donors, const PoolModel &receiver)
@@ -389,8 +394,9 @@
 }
 
 /**
- * Tells whether a pool needs a box. It does if it will be short when everything in progress has ended, if its floors
- * are broken and no box is arriving, or if a maintenance deadline is near and it can't spare a box.
+ * Tells whether a pool needs a box. It does if its projection is short of slots, if its floors are broken and no box is
+ * moving to it, or if the maintenance deadline of a box is near and its projected margin is less than its largest box,
+ * so that it may not be able to take that box down.
  * @param context Pools, policy and observed use.
  * @param pool The pool.
  * @return Whether a box should be moved to it.
@@ -406,10 +412,10 @@
 	if (broken && nothing_arrives) {
 		return true;
 	}
-	const Millis soon = context.now + context.policy.blocked_lead;
+	const Millis due_before = context.now + context.policy.blocked_lead;
 	const auto is_due_soon = [&](const Box &box) {
 		const Millis last = std::max(box.last_maintained, box.registered);
-		return box.purpose == PermitPurpose::PP_NONE && last + context.policy.cycle < soon;
+		return box.purpose == PermitPurpose::PP_NONE && last + context.policy.cycle < due_before;
 	};
 	const bool deadline_nears = std::ranges::any_of(projected.boxes, is_due_soon);
 	const uint64_t box_slots = CapacityOf(projected).largest_box;
@@ -476,13 +482,13 @@
 			moving++;
 		}
 	}
-	/* Rebalance by target, only if the gap is large enough to be worth a move and nothing else moves. */
+	/* Rebalance by target, only if the shortfall is worth a move and no box is moving; 100 percent turns it off. */
 	if (moving == 0 && policy.move_gain_percent < PERCENT) {
 		const auto targets = TargetsOf(draft, CountDomains(draft), policy, observed);
-		const auto [poorest, below] = FurthestBelow(context, targets);
-		if (poorest != nullptr && below > policy.move_gain_percent) {
-			if (const MoveChoice choice = FindMove(context, donors, *poorest); choice.box != nullptr) {
-				proposals.push_back(GrantPermit(*choice.box, PermitPurpose::PP_MOVE, poorest->name));
+		const auto [neediest, below] = FurthestBelow(context, targets);
+		if (neediest != nullptr && below > policy.move_gain_percent) {
+			if (const MoveChoice choice = FindMove(context, donors, *neediest); choice.box != nullptr) {
+				proposals.push_back(GrantPermit(*choice.box, PermitPurpose::PP_MOVE, neediest->name));
 			}
 		}
 	}
--- a/src/planner/wave_plan.cpp
+++ b/src/planner/wave_plan.cpp
@@ -1,4 +1,4 @@
-/** @file wave_plan.cpp Plans the maintenance of boxes: steps under permits, withdrawals, waves. */
+/** @file wave_plan.cpp Plans the maintenance of boxes: steps under permits, withdrawals, new permits zone by zone. */
 #include "planner_func.h"
 
 #include <algorithm>
@@ -84,7 +84,7 @@
 
 /** A box that may be maintained now. */
 struct Candidate {
-	Millis deadline;        ///< When it must have been maintained.
+	Millis deadline;        ///< Log time by which it must have been maintained.
 	uint32_t job_units = 0; ///< Units of its jobs, which a drain would move.
 	Box *box = nullptr;     ///< The box in the draft.
 };
@@ -96,7 +96,7 @@
 	uint32_t active = 0;               ///< Boxes of the zone with a permit for maintenance.
 	uint64_t up = 0;                   ///< Slots of the zone's boxes that take work.
 	Millis deadline;                   ///< The earliest deadline of the candidates.
-	bool stopped = false;              ///< Whether a box of this zone's wave failed its checks after the reboot.
+	bool stopped = false; ///< Whether a box of the zone failed its checks after the reboot and is set aside.
 };
 
 /**
@@ -115,7 +115,8 @@
  * @param pool The pool.
  * @param fleet The fleet's state.
  * @param policy Policy, of which cycle and leads are used.
- * @return Queues: zones with a wave in progress first, then zones with more slots, then by deadline.
+ * @return Queues that have candidates and aren't stopped: zones under maintenance first, then zones with more slots
+ * that take work, then by deadline.
  */
 std::vector<ZoneQueue> QueuesOf(PoolModel &pool, const FleetState &fleet, const PlannerPolicy &policy)
 {
@@ -162,11 +163,12 @@
 }
 
 /**
- * Tells whether a pool still needs a canary: no box of it was maintained in this round yet.
+ * Tells whether a pool still needs a canary: none of its boxes was maintained within the last half cycle, which counts
+ * as this round of maintenance.
  * @param pool The pool.
  * @param fleet The fleet's state.
  * @param policy Policy, of which the cycle is used.
- * @return Whether at most one box may be under maintenance.
+ * @return Whether at most one box of the pool may be under maintenance.
  */
 bool NeedsCanary(const PoolModel &pool, const FleetState &fleet, const PlannerPolicy &policy)
 {
@@ -206,7 +208,7 @@
 		if (granted >= limit) {
 			break;
 		}
-		/* A box that takes no work costs no budget. It is rebooted at once, which may repair it. */
+		/* A box that takes no work costs no budget. It is maintained at once: the reboot may repair it. */
 		if (TakesWork(*it.box) && !CheckBudget(pool, *it.box, false).Ok()) {
 			continue;
 		}
@@ -324,8 +326,7 @@
 	append(std::move(withdrawals));
 	append(PlanSteps(fleet, inputs));
 	append(PlanDrains(fleet, nullptr, inputs));
-	/* While failures make withdrawals necessary, no new permits are granted. Moves to pools that are short come before
-	 * maintenance. */
+	/* No permits are granted in a round that withdraws some. Moves to pools that are short come before maintenance. */
 	if (!withdrew) {
 		append(PlanMoves(draft, fleet.time, policy, inputs.observed));
 		append(PlanMaintenance(draft, fleet, policy));
--- a/src/upkeep/fleet_owner.cpp
+++ b/src/upkeep/fleet_owner.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_owner.cpp The node that gives orders to machines: polls the fleet, records orders and sends them. */
+/** @file fleet_owner.cpp The fleet owner: polls the fleet, records orders to machines and sends them. */
 #include "fleet_owner.h"
 
 #include "../store/owner_record.h"
@@ -9,18 +9,25 @@
 
 namespace {
 
-constexpr Millis POLL_INTERVAL(200); ///< Time between two polls of the fleet; a box is away for at least 1.5 s.
-/** After this time without any record, the holder writes its own record, so that nodes that watch it see that it is
- * alive. Together with POLL_INTERVAL, the longest gap is 0.35 s. */
+/** Minimum time between the starts of two polls of the fleet: a poll starts once the one before is answered. A box that
+ * is moved or taken down is unavailable for at least 1.5 s. */
+constexpr Millis POLL_INTERVAL(200);
+/** After this time without any record the owner writes its own record, which shows watching nodes that it is alive. It
+ * checks this after each poll and, while a poll is unanswered, every POLL_INTERVAL. With fast answers and appends, at
+ * most 0.35 s pass between two records (this time plus POLL_INTERVAL). */
 constexpr Millis CONFIRM_INTERVAL(150);
-constexpr Millis MAX_RECORD_TIME(900); ///< Orders are dropped when their record took longer; a slow log takes 500 ms.
-/** Added to the gap between two holders: covers MAX_RECORD_TIME, and calls in flight. */
+constexpr Millis MAX_RECORD_TIME(900); ///< Orders whose record took longer are dropped; a slow log takes 500 ms.
+/** Added to FleetOwnerContext::turn_gap, as OrderLog counts from the start of an append: an order may be sent
+ * MAX_RECORD_TIME after it. The other 400 ms are for the call to machine control that carries the order. */
 constexpr Millis ORDER_GAP_MARGIN(1300);
 constexpr Millis PUBLISH_RETRY_DELAY(500); ///< Delay before a report that wasn't published is retried.
 
+/** Holds the records of OrderLog and ShareLedger, the owner's (OWNER_KEY), "<wave>/<box>" once maintenance of a box has
+ * begun, and "<wave>" once the report of a completed wave was published. */
 const PartitionId FLEET_PARTITION{"keyed.fleet", 0};
 
-/** @return Key of the record that maintenance of a box has begun. @param wave The wave. @param box The box. */
+/** @return Key of the record that maintenance of a box has begun. @param wave Number of the wave. @param box Name of
+ * the box. */
 std::string MaintenanceKey(uint64_t wave, const BoxName &box)
 {
 	return std::to_string(wave) + "/" + box.Value();
@@ -67,7 +74,7 @@
 
 void FleetOwner::Restore(const std::string &key, const std::string &value)
 {
-	if (OrderLog::Owns(key)) {
+	if (OrderLog::IsOrderKey(key)) {
 		this->recent_orders.RestoreOrder(key, value, this->context.scheduler.Now());
 		return;
 	}
@@ -91,7 +98,7 @@
 
 void FleetOwner::EndOwnership()
 {
-	if (std::exchange(this->lost, true)) {
+	if (std::exchange(this->ownership_ended, true)) {
 		return;
 	}
 	this->context.events.Write("fleet_lost", {{"fence", std::to_string(this->fence.Value())}});
@@ -109,7 +116,7 @@
 {
 	this->context.scheduler.Cancel(this->timer);
 	this->claim.reset();
-	if (std::exchange(this->lost, true) || !this->journal) {
+	if (std::exchange(this->ownership_ended, true) || !this->journal) {
 		done();
 		return;
 	}
@@ -123,7 +130,7 @@
 
 void FleetOwner::Tick()
 {
-	if (this->lost) {
+	if (this->ownership_ended) {
 		return;
 	}
 	this->timer = this->context.scheduler.After(POLL_INTERVAL, [this] { this->Tick(); });
@@ -139,7 +146,8 @@
 	if (this->journal->IdleFor(CONFIRM_INTERVAL)) {
 		const StoredOwner self{this->epoch, this->context.address, false, Millis(0)};
 		this->journal->Append({KeyedRecord{OWNER_KEY, EncodeOwner(self)}}, [] {
-			/* Nothing waits for this record. It shows that this holder is alive, or fails if there is a newer one. */
+			/* Nothing waits for this record. It shows that this owner is alive. When a later owner has claimed the
+			 * fleet, the log refuses it and the journal calls on_superseded. */
 		});
 	}
 }
@@ -159,7 +167,7 @@
 	this->incarnations.RecordKnown(this->view.pools);
 	this->view.pools.clear();
 	this->view.reserves.clear();
-	this->pending_answers = 1;
+	this->pending_answers = 1; /* The list of machines; one is added for each pool. */
 	for (const JobService &service : this->config.services) {
 		if (service.reserve) {
 			this->view.reserves.insert(service.name);
@@ -191,14 +199,16 @@
 {
 	if (code == ResultCode::RC_OK) {
 		this->view.machines = rows;
-		/* Report ended incarnations to the pools' owners at once: the tasks that ran there wait for it. */
+		/* Report ended incarnations to the pools' owners at once: otherwise the tasks that ran there aren't placed
+		 * again before the box is back or its lease has expired. */
 		for (const ServiceName &pool : this->incarnations.Update(rows, this->context.scheduler.Now())) {
 			this->context.pools.Ask(pool, this->RequestFor(pool), [](const std::optional<PoolStatus> &) {
-				/* The next poll asks again. */
+				/* The status is ignored, and the next poll reports the incarnations again. */
 			});
 		}
 	} else {
-		/* Don't decide on an old list: it would miss machines that have come back or gone. */
+		/* Without a list this poll decides nothing: in an old one, machines that have come back or gone down since
+		 * would have the wrong state. */
 		this->view.machines.clear();
 	}
 	this->OnPollAnswer();
@@ -213,7 +223,7 @@
 	if (!this->view.machines.empty()) {
 		this->DecideAndOrder();
 	}
-	/* After the orders, so that their record doesn't wait for this one. */
+	/* Called after DecideAndOrder(), as a record of orders would have to wait for this one. */
 	this->ConfirmOwnership();
 }
 
@@ -232,7 +242,7 @@
 void FleetOwner::LendShares()
 {
 	if (this->lending) {
-		return; /* The previous decision isn't recorded yet: its shares are neither lent nor free. */
+		return; /* Until the previous decision is recorded, its shares are neither lent nor free for a new one. */
 	}
 	std::vector<KeyedRecord> records = this->ledger.Decide();
 	if (records.empty()) {
@@ -269,6 +279,7 @@
 {
 	const Millis now = this->context.scheduler.Now();
 	this->LogPools();
+	/* Neither planner chooses a box that the other one has taken. */
 	this->wave_planner.SetExcluded(this->pool_balancer.Taken());
 	this->actions = this->wave_planner.Decide(this->view, now);
 	const PoolActions moves = this->pool_balancer.Decide(this->view, this->wave_planner.Taken(), now);
@@ -283,6 +294,7 @@
 		this->PlanOrder(planned, it.box, std::nullopt, it.to);
 	}
 	const bool cleanup_due = this->recent_orders.HasExpired(now) && !this->journal->Busy();
+	/* Without orders, the records written only remove expired ones. */
 	if (!this->recording && (!planned.empty() || cleanup_due)) {
 		this->RecordAndSend(planned);
 	}
@@ -302,17 +314,17 @@
 {
 	std::set<BoxName> boxes;
 	std::ranges::for_each(planned, [&boxes](const PlannedOrder &it) { boxes.insert(it.row.box); });
-	const Millis sent = this->context.scheduler.Now();
+	const Millis append_started = this->context.scheduler.Now();
 	this->recording = true;
-	this->journal->Append(this->recent_orders.RecordOrders(boxes, sent),
-						  [this, planned, sent, weak_alive = std::weak_ptr<bool>(this->alive)] {
+	this->journal->Append(this->recent_orders.RecordOrders(boxes, append_started),
+						  [this, planned, append_started, weak_alive = std::weak_ptr<bool>(this->alive)] {
 							  if (weak_alive.expired()) {
 								  return;
 							  }
 							  this->recording = false;
-							  const Millis took = this->context.scheduler.Now() - sent;
-							  if (this->lost || took > MAX_RECORD_TIME) {
-								  /* Another holder may give orders by now. Drop these; the next poll decides again. */
+							  const Millis took = this->context.scheduler.Now() - append_started;
+							  if (this->ownership_ended || took > MAX_RECORD_TIME) {
+								  /* Another owner may give orders by now. Drop these; the next poll decides again. */
 								  this->context.events.Write("orders_too_late",
 															 {{"orders", std::to_string(planned.size())},
 															  {"took_ms", std::to_string(took.Value())}});
--- a/src/upkeep/fleet_owner.h
+++ b/src/upkeep/fleet_owner.h
@@ -1,5 +1,5 @@
-/** @file fleet_owner.h The one node that gives orders to machines: claims that right in the log, and carries out
- * maintenance waves and moves between pools. */
+/** @file fleet_owner.h The fleet owner: the one node that gives orders to machines. Claims this right in the keyed log,
+ * and carries out maintenance waves and moves between pools. */
 #ifndef FLEET_OWNER_H
 #define FLEET_OWNER_H
 
@@ -12,19 +12,19 @@
 
 /** What the fleet owner sends to the owner of a pool with a status request. */
 struct PoolRequest {
-	std::set<BoxName> drain;        ///< Boxes to drain, until the next request or for a short time.
+	std::set<BoxName> drain;        ///< Boxes to drain until the next request; without one, for a short time.
 	std::set<BoxName> due;          ///< Boxes that will be drained later.
 	std::set<BoxIncarnation> ended; ///< Incarnations that have certainly ended.
 	ShareLoan loan;                 ///< Account shares that the ledger lends to the service.
 };
 
-/** Sends requests to the owners of pools. */
+/** Sends status requests to the owners of pools. */
 class PoolOwnerClient {
 public:
 	virtual ~PoolOwnerClient() = default;
 
-	/** Requests the status of a pool and tells its owner which boxes to drain. @param service The pool. @param request
-	 * The request. @param done Gets the status, or nothing when the owner didn't answer. */
+	/** Requests the status of a pool and tells its owner which boxes to drain. @param service Name of the pool. @param
+	 * request What the owner is told. @param done Gets the status, or nothing when the owner didn't answer. */
 	virtual void Ask(const ServiceName &service, const PoolRequest &request,
 					 std::function<void(std::optional<PoolStatus>)> done) = 0;
 };
@@ -37,16 +37,17 @@
 	WaveReporter &reports;              ///< Publishes the state of waves for operators.
 	PoolOwnerClient &pools;             ///< Requests to the owners of pools.
 	EventLog &events;                   ///< Event log.
-	std::string name;                   ///< Name of this node, as holder of orders.
+	std::string name;                   ///< Name of this node; identifies it in orders to machines.
 	std::string address;                ///< Address at which this node answers other nodes.
-	Millis turn_gap;                    ///< Least time between the last order of one holder and the next's first.
+	Millis turn_gap;                    ///< Minimum time between the orders of two owners for one box.
 	std::string group;                  ///< Group of the nodes that may give orders.
-	std::function<bool()> should_claim; ///< Whether this node should claim the fleet when the holder is gone.
+	std::function<bool()> should_claim; ///< Whether this node should claim the fleet when it has no owner.
 	std::function<bool()> should_watch =
-			nullptr; ///< Whether it also watches the holder as a second node; null for never.
+			nullptr; ///< Whether it also watches the owner as a second node; null for never.
 };
 
-/** Owns the fleet's orders, from the start of its claim. Its destructor cancels the timer and gives up the claim. */
+/** Claims the fleet and, while this node owns it, polls it and gives orders. The destructor cancels the timer and gives
+ * up the claim, but doesn't record a release: see Release(). */
 class FleetOwner {
 public:
 	/** @param context Dependencies; what they refer to outlives this. */
@@ -57,11 +58,11 @@
 
 	/** Begins to claim the fleet. */
 	void Start();
-	/** Sets the configuration. @param config The configuration. */
+	/** Sets the configuration. @param config The new configuration. */
 	void Configure(const JobConfig &config);
-	/** Adds a maintenance wave. @param wave The wave. */
+	/** Adds a maintenance wave. @param wave Its number, boxes and limits. */
 	void OnWave(const WaveOrder &wave);
-	/** @return Whether another node holds the fleet. */
+	/** @return Whether another node owns the fleet. */
 	[[nodiscard]] bool Waiting() const { return !this->journal && this->claim && this->claim->Waiting(); }
 
 	/** Releases the fleet to another node: gives no more orders, and records the release in the log. The object may be
@@ -72,32 +73,32 @@
 	std::function<void()> on_lost; ///< Called when another node has taken over. Don't destroy this object inside it.
 
 private:
-	/** An order that was decided and waits for its record. */
+	/** An order that was decided; it is sent once the log holds its record. */
 	struct PlannedOrder {
 		MachineRow row;               ///< The machine, as last listed.
-		std::optional<uint64_t> wave; ///< Wave for which to maintain it; none for a move.
+		std::optional<uint64_t> wave; ///< Number of the wave to maintain it for; none for a move.
 		ServiceName to;               ///< Target pool of a move.
 	};
 
-	FleetOwnerContext context;                                  ///< Dependencies.
-	JobConfig config;                                           ///< The configuration in force.
-	WavePlanner wave_planner;                                   ///< Decides on maintenance.
-	PoolBalancer pool_balancer;                                 ///< Decides on moves.
-	FleetView view;                                             ///< State of the fleet as of the current poll.
-	IncarnationTracker incarnations;                            ///< Tracks which incarnations have ended.
-	std::unique_ptr<PartitionClaim> claim;                      ///< The claim.
-	std::unique_ptr<PairedJournal> journal;                     ///< Writes records; null until claimed.
-	FenceToken fence;                                           ///< Token of this ownership.
-	uint64_t epoch = 0;                                         ///< Epoch of the claim.
-	OrderLog recent_orders;                                     ///< Boxes with recent orders.
-	ShareLedger ledger;                                         ///< Shares of accounts' maxima, by service.
-	bool lending = false;                                       ///< Whether the ledger's decision is being recorded.
-	bool recording = false;                                     ///< Whether orders wait for their record.
-	bool lost = false;                                          ///< Whether the ownership has ended.
-	size_t pending_answers = 0;                                 ///< Requests of this poll without an answer yet.
-	std::set<uint64_t> publishing;                              ///< Waves whose report is being published.
-	WaveActions actions;                                        ///< Actions decided last.
-	TimerId timer;                                              ///< Next tick.
+	FleetOwnerContext context;              ///< Dependencies.
+	JobConfig config;                       ///< The configuration in force.
+	WavePlanner wave_planner;               ///< Decides on maintenance.
+	PoolBalancer pool_balancer;             ///< Decides on moves.
+	FleetView view;                         ///< State of the fleet as of the current poll.
+	IncarnationTracker incarnations;        ///< Tracks which incarnations have ended.
+	std::unique_ptr<PartitionClaim> claim;  ///< The claim.
+	std::unique_ptr<PairedJournal> journal; ///< Writes records; null until the fleet is claimed.
+	FenceToken fence;                       ///< Token of this ownership.
+	uint64_t epoch = 0;                     ///< Epoch of the claim.
+	OrderLog recent_orders;                 ///< Boxes with recent orders, of this owner or the one before.
+	ShareLedger ledger;                     ///< Lends shares of the accounts' maxima to services.
+	bool lending = false;                   ///< Whether a decision of the ledger is being recorded.
+	bool recording = false;                 ///< Whether a record of orders is being written.
+	bool ownership_ended = false;           ///< Whether the ownership was lost or released.
+	size_t pending_answers = 0;             ///< Requests of this poll without an answer yet.
+	std::set<uint64_t> publishing;          ///< Waves whose report is being published or was published.
+	WaveActions actions;                    ///< Actions decided last.
+	TimerId timer;                          ///< Next tick.
 	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Callbacks hold it weakly; expires with this.
 
 	void OnClaimed(const ClaimedPartition &claimed);
--- a/src/upkeep/fleet_view.h
+++ b/src/upkeep/fleet_view.h
@@ -12,7 +12,7 @@
 /** A snapshot of the fleet. */
 struct FleetView {
 	std::vector<MachineRow> machines;        ///< All machines, as just listed.
-	std::map<ServiceName, PoolStatus> pools; ///< Status of pools, as their owners report it; absent when unknown.
+	std::map<ServiceName, PoolStatus> pools; ///< Status by pool, as owners report it; absent without an answer.
 	std::set<ServiceName> reserves;          ///< Reserve pools, whose boxes are switched off.
 };
 
@@ -22,21 +22,22 @@
  */
 class FleetIndex {
 public:
-	/** @param view The view; outlives this and isn't changed meanwhile. */
+	/** @param view The view to index; outlives this and isn't changed meanwhile. */
 	explicit FleetIndex(const FleetView &view);
 
-	/** @return The machine, or null. @param box Its name. */
+	/** @return The machine, or null when it isn't listed. @param box Its name. */
 	[[nodiscard]] const MachineRow *FindMachine(const BoxName &box) const;
-	/** @return A machine's box as the owner of the machine's pool reports it, or null. @param row The machine. */
+	/** @return A machine's box as the owner of the machine's pool reports it, or null. @param row The listed machine.
+	 */
 	[[nodiscard]] const PoolBox *FindBox(const MachineRow &row) const;
-	/** @return Number of machines in a pool. @param pool The pool. */
+	/** @return Number of machines in a pool, in any state. @param pool Name of the pool. */
 	[[nodiscard]] size_t PoolSize(const ServiceName &pool) const;
 
 private:
 	/** A box, and the pool whose owner reports it. */
 	struct ReportedBox {
-		const ServiceName *pool; ///< The pool.
-		const PoolBox *box;      ///< The box.
+		const ServiceName *pool; ///< Name of the pool.
+		const PoolBox *box;      ///< Report on the box.
 	};
 
 	std::unordered_map<std::string_view, const MachineRow *> machines_by_name; ///< Machines by name.
--- a/src/upkeep/incarnation_tracker.cpp
+++ b/src/upkeep/incarnation_tracker.cpp
@@ -28,7 +28,7 @@
 	std::set<ServiceName> affected_pools;
 	for (const MachineRow &row : rows) {
 		const bool runs = !row.id.Value().empty();
-		/* A machine that moves, or is up but listed without an agent, says nothing about the agent before. */
+		/* Without an agent in its row, only a machine that is down shows that the previous agent has ended. */
 		if (!runs && row.state != MachineState::MS_DOWN) {
 			continue;
 		}
--- a/src/upkeep/incarnation_tracker.h
+++ b/src/upkeep/incarnation_tracker.h
@@ -9,10 +9,10 @@
 #include <set>
 
 /**
- * Compares each list of machines with the one before it. A crashed box is away for seconds, and until it is back or its
- * lease has expired, the owner of its pool can't know that nothing runs there any more. A list requested later shows it
- * at once: a machine that is down runs nothing. The list names agents by id only, and an agent may restart under the
- * same id. So only the incarnation that the pool's owner knew before the list was requested is reported as ended.
+ * Compares each list of machines with the one before it. A crashed box takes seconds to return, and until it is back or
+ * its lease has expired, the owner of its pool can't know that nothing runs there any more. The next list shows it: a
+ * machine that is down runs nothing. The list names agents by id only, and an agent may restart under the same id. So
+ * only the incarnation that the pool's owner knew before the list was requested is reported as ended.
  */
 class IncarnationTracker {
 public:
@@ -20,9 +20,9 @@
 	 * the pools, as their owners reported it. */
 	void RecordKnown(const std::map<ServiceName, PoolStatus> &pools);
 	/** Compares a new list with the one before. @param rows The machines, requested after the list before was answered.
-	 * @param now The time. @return Pools with incarnations that have ended since. */
+	 * @param now Current time. @return Pools with incarnations that have ended since. */
 	std::set<ServiceName> Update(const std::vector<MachineRow> &rows, Millis now);
-	/** @return Incarnations of a pool that have ended recently. @param pool The pool. */
+	/** @return Incarnations of a pool that have ended recently. @param pool Name of the pool. */
 	[[nodiscard]] std::set<BoxIncarnation> EndedIn(const ServiceName &pool) const;
 
 private:
--- a/src/upkeep/machine_control.h
+++ b/src/upkeep/machine_control.h
@@ -25,7 +25,7 @@
 /** Outcome of an order to a machine. */
 enum class ControlOutcome : uint8_t {
 	CO_DONE = 0,        ///< Carried out, now or before.
-	CO_FENCED = 1,      ///< Another holder has used a higher token.
+	CO_FENCED = 1,      ///< Rejected, as another node has given orders with a higher fencing token.
 	CO_BUSY = 2,        ///< The machine isn't up, or is leaving.
 	CO_NOT_IN_WAVE = 3, ///< The wave doesn't contain the machine.
 	CO_REJECTED = 4,    ///< No such machine, or the pool doesn't accept it.
@@ -35,8 +35,8 @@
 
 /** Identifies who gives orders to machines. */
 struct ControlLease {
-	std::string holder; ///< Name of the holder's node.
-	FenceToken fence;   ///< The holder's fencing token.
+	std::string holder; ///< Name of the node that gives orders.
+	FenceToken fence;   ///< Its fencing token.
 };
 
 /** Control of machines. Callbacks are called later, never from inside the call. */
@@ -47,11 +47,12 @@
 
 	/** Lists all machines. @param done Gets RC_OK and the machines, or RC_PEER_UNAVAILABLE. */
 	virtual void List(std::function<void(ResultCode, std::vector<MachineRow>)> done) = 0;
-	/** Moves a machine to another pool; everything that runs there ends at once. @param box The machine. @param pool
-	 * The target pool. @param lease Who gives the order. @param done Gets the outcome. */
+	/** Moves a machine to another pool; everything that runs there ends at once. @param box Name of the machine.
+	 * @param pool Name of the target pool. @param lease Who gives the order. @param done Gets the outcome. */
 	virtual void Move(const BoxName &box, const ServiceName &pool, const ControlLease &lease, Done done) = 0;
-	/** Takes a machine down for maintenance; everything that runs there ends at once. @param box The machine. @param
-	 * wave The wave that it is maintained for. @param lease Who gives the order. @param done Gets the outcome. */
+	/** Takes a machine down for maintenance; everything that runs there ends at once. @param box Name of the
+	 * machine. @param wave Number of the wave that it is maintained for. @param lease Who gives the order. @param done
+	 * Gets the outcome. */
 	virtual void Maintain(const BoxName &box, uint64_t wave, const ControlLease &lease, Done done) = 0;
 };
 
@@ -60,7 +61,7 @@
 public:
 	virtual ~WaveReporter() = default;
 
-	/** Publishes the state of a wave. @param wave The wave. @param completed Whether maintenance of all its boxes has
+	/** Publishes the state of a wave. @param wave Its number. @param completed Whether maintenance of all its boxes has
 	 * begun. @param done Gets whether the state was published. */
 	virtual void Publish(uint64_t wave, bool completed, std::function<void(bool)> done) = 0;
 };
--- a/src/upkeep/order_log.cpp
+++ b/src/upkeep/order_log.cpp
@@ -1,4 +1,4 @@
-/** @file order_log.cpp Boxes with recent orders. */
+/** @file order_log.cpp Boxes with recent orders, recorded for the next owner of the fleet. */
 #include "order_log.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::string_view PREFIX = "turn/"; ///< Prefix of a record's key, before the name of the box.
-constexpr const char *NO_END_TIME = "-";     ///< Value of a record while its holder gives orders.
+constexpr const char *NO_END_TIME = "-";     ///< Value of a record until its owner releases the fleet.
 
-/** @return Key of a box's record. @param box The box. */
+/** @return Key of a box's record. @param box Name of the box. */
 std::string KeyOf(const BoxName &box)
 {
 	return std::string(PREFIX) + box.Value();
@@ -18,17 +18,17 @@
 
 } // namespace
 
-bool OrderLog::Owns(const std::string &key)
+bool OrderLog::IsOrderKey(const std::string &key)
 {
 	return key.starts_with(PREFIX);
 }
 
 void OrderLog::RestoreOrder(const std::string &key, const std::string &value, Millis now)
 {
-	/* A value without a time means that the holder didn't release the fleet: its last order may be recent. */
+	/* A value without a time means that the owner didn't release the fleet: its last order may be recent. */
 	int64_t left = this->gap.Value();
 	std::from_chars(value.data(), value.data() + value.size(), left);
-	/* Both partitions of the owner may have a record of the box: the later time is the safe one. */
+	/* The main and the spare partition may both have a record of the box: the later time is the safe one. */
 	const Millis until = now + std::min(Millis(left), this->gap);
 	LastOrder &order =
 			this->last_orders.try_emplace(BoxName(key.substr(PREFIX.size())), LastOrder{until, true}).first->second;
@@ -38,7 +38,7 @@
 bool OrderLog::MayOrder(const BoxName &box, Millis now) const
 {
 	const auto it = this->last_orders.find(box);
-	return it == this->last_orders.end() || !it->second.by_previous_holder || now >= it->second.until;
+	return it == this->last_orders.end() || !it->second.by_previous_owner || now >= it->second.until;
 }
 
 bool OrderLog::HasExpired(Millis now) const
--- a/src/upkeep/pool_balancer.cpp
+++ b/src/upkeep/pool_balancer.cpp
@@ -55,7 +55,7 @@
 	Balance balance;
 	balance.pool = pool;
 	for (const PoolBox &box : status.boxes) {
-		/* The owner's report of a box that has moved away remains for a while. */
+		/* The pool's owner may still report a box that has already moved away. */
 		const MachineRow *row = index.FindMachine(box.box);
 		const bool here = row != nullptr && row->pool == pool && row->id == box.incarnation.id;
 		if (here && box.placing && !this->pending_moves.contains(box.box) && !taken.contains(box.box)) {
@@ -103,21 +103,21 @@
 	this->pending_moves[box] = PendingMove{to, now, false};
 }
 
-bool PoolBalancer::CanDonate(const Balance &other, const Balance &receiver, const PoolBox &box)
+bool PoolBalancer::CanDonate(const Balance &donor, const Balance &receiver, const PoolBox &box)
 {
-	/* Jobs that can't be on time any more run where there is room. They keep no box from jobs that can be on time, and
-	 * get no box that another pool has use for. */
+	/* Jobs that can't be on time any more only use what is left: the donor's hold back no box from jobs that can be on
+	 * time, and the receiver's get no box that the donor needs for its own. */
 	const bool on_time = receiver.have < receiver.want;
-	return other.have - box.cpu >= other.want + (on_time ? 0 : other.late);
+	return donor.have - box.cpu >= donor.want + (on_time ? 0 : donor.late);
 }
 
-void PoolBalancer::TakeBoxes(Balance &other, std::vector<const PoolBox *> &boxes, Balance &receiver, Millis now)
+void PoolBalancer::TakeBoxes(Balance &donor, std::vector<const PoolBox *> &boxes, Balance &receiver, Millis now)
 {
 	while (!boxes.empty() && receiver.have < receiver.want + receiver.late &&
-		   CanDonate(other, receiver, *boxes.back())) {
+		   CanDonate(donor, receiver, *boxes.back())) {
 		const PoolBox *box = boxes.back();
 		boxes.pop_back();
-		other.have -= box->cpu;
+		donor.have -= box->cpu;
 		receiver.have += box->cpu;
 		this->BeginMove(box->box, receiver.pool, now);
 	}
@@ -126,7 +126,7 @@
 void PoolBalancer::CoverShortage(Balance &receiver, std::vector<Balance> &all, const FleetView &view,
 								 const std::set<BoxName> &taken, Millis now)
 {
-	/* Boxes of the reserve first: no pool uses them. */
+	/* Boxes of a reserve first, as they run no tasks. */
 	for (const MachineRow &row : view.machines) {
 		const bool free = view.reserves.contains(row.pool) && row.state == MachineState::MS_UP &&
 						  !taken.contains(row.box) && !this->pending_moves.contains(row.box) &&
@@ -136,15 +136,15 @@
 			receiver.have += row.capacity.cpu;
 		}
 	}
-	for (Balance &other : all) {
-		if (other.pool != receiver.pool && !this->incompatible_pools.contains({other.pool, receiver.pool})) {
-			this->TakeBoxes(other, other.empty, receiver, now);
+	for (Balance &donor : all) {
+		if (donor.pool != receiver.pool && !this->incompatible_pools.contains({donor.pool, receiver.pool})) {
+			this->TakeBoxes(donor, donor.empty, receiver, now);
 		}
 	}
-	for (Balance &other : all) {
+	for (Balance &donor : all) {
 		const bool on_time = receiver.have < receiver.want;
-		if (on_time && other.pool != receiver.pool && !this->incompatible_pools.contains({other.pool, receiver.pool})) {
-			this->TakeBoxes(other, other.late_only, receiver, now);
+		if (on_time && donor.pool != receiver.pool && !this->incompatible_pools.contains({donor.pool, receiver.pool})) {
+			this->TakeBoxes(donor, donor.late_only, receiver, now);
 		}
 	}
 }
@@ -166,8 +166,8 @@
 	while (now - this->total_demands.front().at > this->limits.release_after) {
 		this->total_demands.pop_front();
 	}
-	const bool known = now - *this->first_decided_at >= this->limits.release_after;
-	return known ? have - this->total_demands.front().cpu : 0;
+	const bool maximum_known = now - *this->first_decided_at >= this->limits.release_after;
+	return maximum_known ? have - this->total_demands.front().cpu : 0;
 }
 
 void PoolBalancer::MoveToReserve(Balance &source, const FleetView &view, int64_t &surplus, Millis now)
--- a/src/upkeep/pool_balancer.h
+++ b/src/upkeep/pool_balancer.h
@@ -11,12 +11,12 @@
 	double waiting_weight = 1.0;          ///< Fraction of the waiting tasks' CPU that counts as demand.
 	double headroom_factor = 1.15;        ///< Capacity wanted, as a multiple of the CPU in use.
 	Millis growth_horizon = Millis(1800); ///< Demand is extrapolated this far ahead: a move takes at least 1.5 s.
-	double floor_share = 0.4; ///< Fraction of an even share of all boxes that a pool keeps for sudden demand.
+	double floor_share = 0.4;             ///< Fraction of an even share of all CPU that a pool keeps for sudden demand.
 	/** A box moves to the reserve when no pool has needed it for this long. The pools' peaks alternate about every
 	 * 40 s, so a box released earlier would be needed back for the next peak. */
 	Millis release_after = Millis(90000);
-	Millis drain_timeout = Millis(1500); ///< The move of a box that isn't empty by then is cancelled.
-	Millis move_timeout = Millis(6000);  ///< A move that hasn't ended by then no longer counts as capacity.
+	Millis drain_timeout = Millis(1500); ///< The move of a box that isn't empty after this time is cancelled.
+	Millis move_timeout = Millis(6000);  ///< A move that hasn't ended after this time no longer counts as capacity.
 };
 
 /** A move to order now. */
@@ -37,13 +37,13 @@
 	/** @param limits Limits of moves. */
 	explicit PoolBalancer(PoolLimits limits) : limits(limits) {}
 
-	/** Decides on moves from a new view. @return Actions to take now. @param view The fleet. @param taken Boxes that
-	 * must not be moved. @param now The time. */
+	/** Decides on moves from a new view. @return Actions to take now. @param view Snapshot of the fleet. @param
+	 * taken Boxes that must not be moved. @param now Current time. */
 	PoolActions Decide(const FleetView &view, const std::set<BoxName> &taken, Millis now);
-	/** Records that an order is about to be sent. @param move The ordered move. @param now The time. */
+	/** Records that an order is about to be sent. @param move The ordered move. @param now Current time. */
 	void RecordOrder(const PoolMove &move, Millis now);
 	/** Records the outcome of an order. @param move The ordered move. @param from The box's pool before. @param outcome
-	 * The outcome. */
+	 * How the order ended. */
 	void RecordOutcome(const PoolMove &move, const ServiceName &from, ControlOutcome outcome);
 
 	/** @return Boxes that are being drained or moved. */
@@ -60,11 +60,12 @@
 	/** Capacity and demand of a pool. */
 	struct Balance {
 		ServiceName pool; ///< The pool.
-		int64_t have = 0; ///< Thousandths of a core that it has, or gets by pending moves.
+		int64_t have = 0; ///< Thousandths of a core that it has or gets, after all pending moves.
 		int64_t want = 0; ///< Thousandths of a core that it should have.
-		int64_t late = 0; ///< Thousandths of a core wanted besides for jobs that can't be on time any more.
+		int64_t late = 0; ///< Thousandths of a core wanted on top for jobs that can't be on time any more.
 		std::vector<const PoolBox *> empty; ///< Boxes without tasks.
-		/** Boxes that run only jobs that can't be on time any more. They are drained for a pool whose jobs can. */
+		/** Boxes that run only jobs that can't be on time any more. They are drained for a pool that lacks capacity
+		 * for jobs that can. */
 		std::vector<const PoolBox *> late_only;
 	};
 
@@ -84,9 +85,10 @@
 	PoolLimits limits;                            ///< Limits of moves.
 	std::map<BoxName, PendingMove> pending_moves; ///< Moves that haven't ended, by box.
 	std::map<ServiceName, DemandSample> demand;   ///< Demand at the last decision, by pool.
-	std::deque<TotalDemand> total_demands;        ///< Recent total demands that no later one reached, oldest first.
-	std::optional<Millis> first_decided_at;       ///< Time of the first decision.
-	/** Pools (from, to) between which boxes can't move. */
+	/** Total demands of the last release_after that no later one reached, oldest first: the first is the maximum. */
+	std::deque<TotalDemand> total_demands;
+	std::optional<Millis> first_decided_at; ///< Time of the first decision.
+	/** Pairs (from, to) of pools between which machine control rejected a move. */
 	std::set<std::pair<ServiceName, ServiceName>> incompatible_pools;
 
 	void DropEndedMoves(const FleetIndex &index, Millis now);
@@ -96,8 +98,8 @@
 					  const std::set<BoxName> &taken);
 	[[nodiscard]] int64_t FloorOf(const FleetView &view) const;
 	double GrowthOf(const ServiceName &pool, double cpu, Millis now);
-	static bool CanDonate(const Balance &other, const Balance &receiver, const PoolBox &box);
-	void TakeBoxes(Balance &other, std::vector<const PoolBox *> &boxes, Balance &receiver, Millis now);
+	static bool CanDonate(const Balance &donor, const Balance &receiver, const PoolBox &box);
+	void TakeBoxes(Balance &donor, std::vector<const PoolBox *> &boxes, Balance &receiver, Millis now);
 	void CoverShortage(Balance &receiver, std::vector<Balance> &all, const FleetView &view,
 					   const std::set<BoxName> &taken, Millis now);
 	[[nodiscard]] int64_t SurplusCpu(const std::vector<Balance> &all, Millis now);
--- a/src/upkeep/wave_planner.cpp
+++ b/src/upkeep/wave_planner.cpp
@@ -44,10 +44,10 @@
 			return true;
 		}
 		const bool back = row->state == MachineState::MS_UP && (it.second.seen_down || row->id != it.second.id_before);
-		/* An order without an answer may never be carried out. After the timeout the box is tried again. */
+		/* An order of unknown outcome may never be carried out. After the timeout the box may get another one. */
 		return back || (row->state == MachineState::MS_UP && now - it.second.ordered_at > this->limits.down_timeout);
 	});
-	/* A previous owner of the fleet may have ordered these. */
+	/* Boxes under maintenance that this owner didn't order down: a previous owner of the fleet may have done so. */
 	for (const MachineRow &row : view.machines) {
 		if (row.state == MachineState::MS_MAINTENANCE && !this->down.contains(row.box)) {
 			for (const auto &[number, wave] : this->waves) {
@@ -61,9 +61,9 @@
 
 size_t WavePlanner::Taken(uint64_t wave) const
 {
-	const auto emptied = std::ranges::count(this->draining | std::views::values, wave);
-	const auto gone = std::ranges::count(this->down | std::views::values, wave, &DownBox::wave);
-	return static_cast<size_t>(emptied + gone);
+	const auto draining_count = std::ranges::count(this->draining | std::views::values, wave);
+	const auto down_count = std::ranges::count(this->down | std::views::values, wave, &DownBox::wave);
+	return static_cast<size_t>(draining_count + down_count);
 }
 
 std::map<ServiceName, size_t> WavePlanner::TakenByPool(const FleetIndex &index) const
@@ -148,7 +148,7 @@
 							 WaveActions &actions)
 {
 	std::vector<const MachineRow *> open = this->OpenMachines(wave, index, actions);
-	/* Boxes in a reserve first, then those with the fewest tasks; boxes with an unknown status last. */
+	/* Boxes in a reserve first, then those with the fewest tasks; boxes of unknown status last. */
 	const auto drain_cost = [&](const MachineRow *it) {
 		const PoolBox *status = index.FindBox(*it);
 		return view.reserves.contains(it->pool) ? -1 : status == nullptr ? INT64_MAX : int64_t{status->tasks};
@@ -188,7 +188,7 @@
 		break;
 	case ControlOutcome::CO_NOT_IN_WAVE:
 	case ControlOutcome::CO_REJECTED:
-		/* The box can't be maintained for this wave: count it as begun. */
+		/* The box can't be maintained for this wave: count it as begun, so that the wave can complete. */
 		this->begun[wave].insert(box);
 		this->down.erase(box);
 		break;
