--- a/src/jobs/job_codec.h
+++ b/src/jobs/job_codec.h
@@ -17,7 +17,8 @@
 	/** Number of boxes that have certainly crashed soon after they started the task. Recorded before its next start
 	 * order is sent, so that the count survives a change of owner: see Shard::NoteCrash(). */
 	uint32_t crashes = 0;
-	uint32_t crashes_possible = 0; ///< Runs lost with a box that may have crashed.
+	/** Number of runs lost with a box that may have crashed, or that crashed before it had confirmed the start. */
+	uint32_t crashes_possible = 0;
 
 	bool operator==(const StoredTask &) const = default;
 };
@@ -27,7 +28,7 @@
 	JobPhase phase = JobPhase::JP_QUEUED; ///< Phase of the job.
 	RouteName route;                      ///< Route of the job.
 	Millis changed;                       ///< Wall time of the record.
-	uint64_t revision = 0;                ///< Rises with each record of the job: the record with the highest is newest.
+	uint64_t revision = 0;                ///< Rises with each record of the job: the highest is the newest.
 	std::vector<StoredTask> tasks;        ///< By occurrence, step, index.
 
 	bool operator==(const StoredProgress &) const = default;
--- a/src/jobs/job_type.h
+++ b/src/jobs/job_type.h
@@ -33,21 +33,21 @@
 
 /** A step of a job: a number of like tasks. */
 struct StepSpec {
-	uint32_t count = 1;                 ///< Number of tasks.
-	Resources demand;                   ///< Resources per task.
-	Millis estimate;                    ///< Run time of a task, as estimated by the caller.
-	std::vector<uint32_t> after;        ///< Steps of the same job that must be done before this one starts.
-	bool gang = false;                  ///< All tasks start and end together.
-	bool one_rack = false;              ///< Runs much slower when spread over several racks.
-	std::string required_label;         ///< Label that the box must have; empty for any box.
-	std::string data_rack;              ///< Rack near the data; the step is slower elsewhere. Empty for any rack.
-	uint32_t per_box = 0;               ///< Maximum number of tasks on one box; 0 for no limit.
-	bool checkpoints = false;           ///< Saves checkpoints and resumes from them.
-	bool copies = false;                ///< A second copy of a slow task may run in parallel.
-	bool lasting = false;               ///< Runs until the job is cancelled; restarted however a run ends.
-	std::string image;                  ///< Program image; tasks with the same image behave alike.
-	Millis latency_limit;               ///< Limit of the tail latency of a task that serves users; 0 for none.
-	bool filler = false;                ///< Uses only processor time that other tasks leave idle.
+	uint32_t count = 1;          ///< Number of tasks.
+	Resources demand;            ///< Resources per task.
+	Millis estimate;             ///< Run time of a task, as estimated by the caller.
+	std::vector<uint32_t> after; ///< Steps of the same job that must be done before this one starts.
+	bool gang = false;           ///< All tasks start and end together.
+	bool one_rack = false;       ///< Runs much slower when spread over several racks.
+	std::string required_label;  ///< Label that the box must have; empty for any box.
+	std::string data_rack;       ///< Rack near the data; the step is slower elsewhere. Empty for any rack.
+	uint32_t per_box = 0;        ///< Maximum number of tasks on one box; 0 for no limit.
+	bool checkpoints = false;    ///< Saves checkpoints and resumes from them.
+	bool copies = false;         ///< A second copy of a slow task may run in parallel.
+	bool lasting = false;        ///< Runs until cancelled; restarted however a run ends, unless it crashes boxes.
+	std::string image;           ///< Program image; tasks with the same image behave alike.
+	Millis latency_limit;        ///< Limit of the tail latency of a task that serves users; 0 for none.
+	bool filler = false;         ///< Uses only processor time that other tasks leave idle.
 	std::optional<uint32_t> absent_max; ///< Tasks that planned maintenance may keep from running at once; no limit if
 										///< unset.
 
@@ -77,10 +77,10 @@
 
 /** Phase of a job; the numbers are stored. */
 enum class JobPhase : uint8_t {
-	JP_QUEUED = 0,    ///< No task was started yet.
-	JP_RUNNING = 1,   ///< At least one task was started.
+	JP_QUEUED = 0,    ///< No task was placed yet.
+	JP_RUNNING = 1,   ///< At least one task was placed.
 	JP_COMPLETED = 2, ///< All tasks have ended successfully.
-	JP_FAILED = 3,    ///< A task failed too often.
+	JP_FAILED = 3,    ///< A task failed or crashed boxes too often.
 	JP_CANCELLED = 4, ///< Cancelled by its caller.
 };
 
@@ -198,8 +198,8 @@
 enum class RunEnding : uint8_t {
 	RE_DONE = 0,    ///< Successfully.
 	RE_FAILED = 1,  ///< By a fault of its own or of the box; counts as a failure.
-	RE_STOPPED = 2, ///< By a stop order.
-	RE_LAPSED = 3,  ///< Its lease expired.
+	RE_STOPPED = 2, ///< By a stop order, or before it was started.
+	RE_LAPSED = 3,  ///< Its lease expired or its box ended.
 	RE_BROKEN = 4,  ///< Another task of its gang ended.
 	RE_ALONE = 5,   ///< The other tasks of its gang didn't start in time.
 };
--- a/src/jobs/shard_base.h
+++ b/src/jobs/shard_base.h
@@ -40,8 +40,8 @@
 	 * Id of the job. @param progress Recorded progress. */
 	void Restore(const JobId &id, const StoredProgress &progress);
 	/** Notes that the previous owner has released the shard, or that there was none. To be called before Begin().
-	 * @param span How long owners before that one may still renew leases. Passed on from owner to owner: when each of
-	 * five owners within 30 s started the wait anew, tasks of an unreachable box were not restarted for 43 s. */
+	 * @param span How long owners before that one may still renew leases. Each owner passes on what is left of it: when
+	 * five owners in 30 s each start the wait anew, tasks of an unreachable box are not restarted for 43 s. */
 	void SetEarlierLeaseSpan(Millis span) { this->earlier_leases_until = this->owned_since + span; }
 	/** @return How long earlier owners may still renew leases. */
 	[[nodiscard]] Millis EarlierLeaseSpanLeft() const
@@ -50,7 +50,7 @@
 	}
 	/**
 	 * Drains boxes for planned maintenance: nothing is placed there, and lasting tasks move away as their limits allow.
-	 * @param drain Boxes to drain, until the next call or for a short time.
+	 * @param drain Boxes to drain. The drain ends at the next call without the box, or 2 s after the last call.
 	 * @param due Boxes that will be drained soon: lasting tasks are placed elsewhere if possible.
 	 */
 	void Drain(const std::set<BoxName> &drain, const std::set<BoxName> &due);
@@ -60,17 +60,18 @@
 	/** @return Whether the log has confirmed this ownership recently. Otherwise another owner may be placing tasks, and
 	 * the state of boxes held here may be outdated. */
 	[[nodiscard]] bool Confirmed() const;
-	/** Applies the quota that accounts may use in this service. @param loan Quota granted by the share ledger. */
+	/** Applies grants of the share ledger: parts of their maxima that accounts may use in this service. @param loan The
+	 * grants; ignored when newer ones were applied. */
 	void TakeLoan(const ShareLoan &loan);
 	/** @return Status of the pool. */
 	[[nodiscard]] PoolStatus Status();
-	/** Adds a job; a known one is ignored. @param spec The job. @param recorded Whether the log has it. */
+	/** Adds a job; a known one only becomes `recorded`. @param spec The job. @param recorded Whether the log has it. */
 	void Submit(const JobSpec &spec, bool recorded = true);
 	/** Cancels a job, also one that is submitted later. @param id Id of the job. @param account Account of the caller;
 	 * a job of another account is not cancelled. */
 	void Cancel(const JobId &id, const AccountName &account);
-	/** Accepts a submission or cancellation. It is recorded with the next append, together with the placements that
-	 * follow from it. @param incoming Record of the caller. */
+	/** Takes in a submission or cancellation, to be recorded with the next append together with the placements that
+	 * follow from it, or answers it at once when it can't be recorded here. @param incoming Record of the caller. */
 	void Accept(IncomingRecord incoming);
 	/** Applies a configuration. @param config The configuration. */
 	void Configure(const JobConfig &config);
@@ -78,8 +79,8 @@
 	void OnReport(const BoxReport &report);
 	/** Handles the removal of a report. @param id Id of the box's agent. */
 	void OnReportRemoved(const BoxId &id);
-	/** Passes on the address of an incarnation whose report was removed. To be called before Begin(). @param report Its
-	 * last report. */
+	/** Keeps the last report of an incarnation whose report was removed: orders to it need its address. To be called
+	 * before Begin(). @param report The report. */
 	void NoteRemovedReport(const BoxReport &report) { this->removed_reports[report.incarnation] = report; }
 	/** Starts to place tasks. To be called once all records known when the shard was claimed have been passed in. */
 	void Begin();
@@ -91,7 +92,8 @@
 
 	/** @return Recorded status of a job. @param id Id of the job. */
 	[[nodiscard]] JobView View(const JobId &id) const;
-	/** @return Number of jobs of a route of which no task was started. @param route Name of the route. */
+	/** @return Number of unfinished jobs of a route of which no box is known to have started a task. @param route Name
+	 * of the route. */
 	[[nodiscard]] uint32_t Waiting(const RouteName &route) const;
 	/** @return Number of batches recorded in the spare partition because the shard's own one didn't answer. */
 	[[nodiscard]] uint64_t Detours() const { return this->journal.Detours(); }
@@ -117,23 +119,23 @@
 	std::function<void(std::function<void()>)> read_inbox;
 
 private:
-	/** A start order whose record is pending. */
+	/** A start order, sent once the placement is recorded. */
 	struct PendingStart {
 		TaskId task;   ///< The task.
 		RunNumber run; ///< Number of the run.
 	};
 
-	/** A stop order for planned maintenance whose record is pending. */
+	/** A stop order for planned maintenance, sent once StoredTask::leaving is recorded. */
 	struct PendingStop {
 		TaskId task;   ///< The task.
 		RunNumber run; ///< Number of the run.
 	};
 
-	/** What to continue with once a batch of records is durable. */
+	/** A batch of records passed to the journal: what to continue with once it is durable. */
 	struct Batch {
 		std::vector<PendingStart> starts;           ///< Starts to send.
 		std::vector<PendingStop> stops;             ///< Stops to send.
-		std::map<BoxIncarnation, uint64_t> ends;    ///< Numbers up to which boxes may forget ends.
+		std::map<BoxIncarnation, uint64_t> ends;    ///< Number of the newest end that the batch records, by box.
 		std::map<JobId, JobPhase> phases;           ///< Phases of the recorded jobs.
 		std::vector<IncomingRecord> caller_records; ///< Callers' records in the batch.
 		Millis made_at;                             ///< When it was passed to the journal.
@@ -149,7 +151,7 @@
 	ShardLimits limits;                       ///< Time limits.
 	Millis owned_since;                       ///< When this ownership started.
 	Millis earlier_leases_until;              ///< Until then an earlier owner may renew leases.
-	Millis log_unreachable_at{-1000000};      ///< When the log was last found unreachable.
+	Millis log_unreachable_at{-1000000};      ///< When the log was last found unreachable; initially long ago.
 	bool begun = false;                       ///< Whether Begin() was called.
 	bool turn_scheduled = false;              ///< Whether a turn is scheduled to run at once.
 	bool place_wanted = false;                ///< Whether a turn skipped placing because an append was under way.
@@ -158,22 +160,22 @@
 	ShardJobs jobs;                           ///< All jobs, also those that are over.
 	std::map<JobId, ShardJob *> live;         ///< Jobs that are not over.
 	std::map<JobId, StoredProgress> restored; ///< Recorded progress of jobs whose submission hasn't arrived.
-	std::set<std::pair<JobId, AccountName>> cancelled; ///< Cancellations by caller, also of jobs that haven't arrived.
+	std::set<std::pair<JobId, AccountName>> cancelled; ///< Job and caller's account; also of jobs that haven't arrived.
 	AccountBook book;                                  ///< Resources that accounts use here.
 	std::map<BoxIncarnation, ShardBox> boxes;          ///< Boxes of the service.
 	/** Last reports of incarnations whose report was removed; used until Begin(). */
 	std::map<BoxIncarnation, BoxReport> removed_reports;
-	Millis order_unanswered_at{-1000000};     ///< When a box was last found running after an order without an answer.
-	std::set<BoxId> held;                     ///< Ids whose next incarnation may carry out orders to the previous one.
-	std::map<BoxId, BoxReport> older_reports; ///< Reports of incarnations that started before a known one.
-	std::map<RouteName, double> run_times;    ///< Run times of a route's tasks in ms: geometric moving average.
-	std::map<uint64_t, IncomingRecord> incoming; ///< Records that wait for the next append, in order of arrival.
-	uint64_t incoming_last = 0;                  ///< Number of the newest of them.
+	Millis order_unanswered_at{-1000000}; ///< When a box was last found running after an order without an answer.
+	std::set<BoxId> held_ids;             ///< Ids of ended incarnations that may have runs which the next one starts.
+	std::map<BoxId, BoxReport> older_reports;    ///< Reports of incarnations that started before a known one.
+	std::map<RouteName, double> run_times;       ///< Run times of a route's tasks in ms: geometric moving average.
+	std::map<uint64_t, IncomingRecord> incoming; ///< Records taken in by Accept() but not by a turn, by number.
+	uint64_t incoming_last = 0;                  ///< Number of the newest record taken in.
 	Millis starts_spaced_until;    ///< Until then, starts of different jobs on one box are spaced in time.
-	std::set<TaskId> crash_causes; ///< Isolated crash causes; some may be over.
-	std::optional<BoxIncarnation> quarantine_box; ///< Box reserved for them while some wait.
-	Millis refused_at{-1000000};                  ///< When the log last refused an append.
-	std::vector<IncomingRecord> accepted;         ///< Records that go into the next append.
+	std::set<TaskId> crash_causes; ///< Sole crash causes; may include tasks of ended jobs.
+	std::optional<BoxIncarnation> quarantine_box; ///< Box reserved for crash causes while some wait.
+	Millis refused_at{-1000000};                  ///< When the log last refused an append; initially long ago.
+	std::vector<IncomingRecord> accepted;         ///< Records applied by a turn, for the next append.
 	std::set<JobId> dirty;                        ///< Jobs whose progress is to be recorded.
 	std::vector<PendingStart> starts;             ///< Start orders to send once recorded.
 	std::vector<PendingStop> stops;               ///< Stop orders to send once recorded.
@@ -181,12 +183,12 @@
 	size_t starts_under_way = 0;                  ///< Start orders without an answer.
 	bool starts_held = false;                     ///< Whether recorded starts wait until the inbox has been read.
 	Millis renewal_gap;                           ///< Minimum time between two lease orders to a box.
-	uint64_t last_renewal = 0;                    ///< Number of the last answered lease order.
-	Millis boxes_checked_at{-1000000};            ///< When CheckBoxes() last visited the boxes.
-	bool boxes_changed = false;        ///< Whether a box changed since then in a way that needs a check at once.
-	Millis turn_due;                   ///< When the next turn is due, or the last one was.
+	uint64_t newest_listing = 0;       ///< Number of answered lease orders, and so of the newest list of runs.
+	Millis boxes_checked_at{-1000000}; ///< When CheckBoxes() last visited the boxes; initially long ago.
+	bool boxes_changed = false;        ///< Whether the next turn visits the boxes even if they were just visited.
+	Millis turn_due;                   ///< When the next turn is due; during a turn, when it was due.
 	double late_ms = 0;                ///< Smoothed lateness of turns.
-	Millis starts_waited_at{-1000000}; ///< When recorded starts were last left waiting to be sent.
+	Millis starts_waited_at{-1000000}; ///< When recorded starts last had to wait; initially long ago.
 	TicketCache tickets;               ///< Tickets of the placement policy.
 	ShardCounters counters;            ///< Counters.
 	TimerId timer;                     ///< Next turn.
@@ -196,11 +198,14 @@
 	void ScheduleTurn();
 	void Turn();
 	void NoteLateness();
+	/** Visits all boxes, unless they were just visited. @return Time until the next visit is due. */
 	[[nodiscard]] Millis CheckBoxes();
 	void AddToBox(ShardBox &box, const ShardJob &job, const TaskId &id);
+	/** @return Whether the task was placed on the box. */
 	bool RemoveFromBox(ShardBox &box, const ShardJob &job, const TaskId &id);
 	ShardJob MakeJob(const JobSpec &spec) const;
 	void ApplyRoute(ShardJob &job) const;
+	/** @return Whether a caller that may access the job has cancelled it. */
 	[[nodiscard]] bool Cancelled(const JobSpec &spec) const;
 	void EndJob(ShardJob &job, JobPhase phase, const char *reason);
 	void CheckCompleted(ShardJob &job);
@@ -209,9 +214,10 @@
 	void MarkDirty(const JobId &id);
 
 	/* shard_records.cpp */
+	/** @return Whether records can be appended now: no append is under way or was just refused. */
 	[[nodiscard]] bool MayRecord() const;
-	/** @return Result to report for a record that is not accepted: RC_OK when the log has it already,
-	 * RC_OUTCOME_UNKNOWN when it may have it. */
+	/** @return Result to report for a record that this shard doesn't append: RC_OK when the log has an equal one,
+	 * RC_OUTCOME_UNKNOWN when it may have one, otherwise RC_LOG_UNAVAILABLE. */
 	[[nodiscard]] ResultCode KnownResultOf(const IncomingRecord &incoming) const;
 	/** @return Whether a record concerns a job that another account has submitted. */
 	[[nodiscard]] bool BelongsToOtherAccount(const InboxKey &name) const;
@@ -238,10 +244,13 @@
 	/** @return Thousandths of a core on a box that are used by jobs that can't be on time any more. */
 	[[nodiscard]] int64_t LateCpuOn(const ShardBox &box, Millis wall_now);
 	[[nodiscard]] static JobRank RankOf(const ShardJob &job, Millis wall_now);
+	/** @return Expected run time of a task of a step, in ms. */
 	[[nodiscard]] double RunTimeOf(const ShardJob &job, const StepSpec &step) const;
 	void RefreshOutlook(ShardJob &job, Millis now) const;
 	[[nodiscard]] JobOutlook MakeOutlook(const ShardJob &job) const;
+	/** @return Whether all steps that must be done before a step are done. */
 	[[nodiscard]] bool StepReady(const ShardJob &job, uint32_t occurrence, uint32_t step) const;
+	/** @return Whether the set time of an occurrence has come. */
 	[[nodiscard]] bool Due(const ShardJob &job, uint32_t occurrence) const;
 	[[nodiscard]] Resources ReadyDemand(const ShardJob &job) const;
 
@@ -251,13 +260,18 @@
 	void PlaceJob(PlaceRound &round, ShardJob &job);
 	void PlaceStep(PlaceRound &round, ShardJob &job, uint32_t occurrence, uint32_t step);
 	void PlaceGang(PlaceRound &round, ShardJob &job, uint32_t occurrence, uint32_t step);
+	/** @return The best box for a task of a step, or null when none can take it. */
 	OpenBox *ChooseBox(std::vector<OpenBox> &open, const ShardJob &job, const TaskId &first, StartKind kind);
+	/** @return Whether the step needs no ticket for the box, or has a valid one. */
 	[[nodiscard]] bool MayRun(const ShardJob &job, const TaskId &first, const ShardBox &box) const;
 	void WantTickets(const PlaceRound &round, const ShardJob &job, const TaskId &first);
+	/** @return Whether the round has a quarantine box and a crash cause of the job waits for it. */
 	[[nodiscard]] bool MayUseQuarantine(const PlaceRound &round, const ShardJob &job) const;
 	[[nodiscard]] StartKind StartKindOf(const ShardTask &task) const;
+	/** @return Whether isolation, spacing and quarantine allow a start. */
 	[[nodiscard]] static bool MayStartOn(const OpenBox &open, const JobId &job, StartKind kind);
 	void NoteStarting(OpenBox &open, const JobId &job, StartKind kind) const;
+	/** Chooses a box for each task of a gang; takes the room from `open`. @return Whether all tasks got one. */
 	bool PickGang(std::vector<OpenBox> &open, const ShardJob &job, const TaskId &first, StartKind kind,
 				  std::vector<ShardBox *> &picks);
 	[[nodiscard]] uint32_t CountStepTasksOn(const ShardBox &box, const TaskId &first) const;
@@ -282,31 +296,39 @@
 	void OnStopRecorded(const PendingStop &stop);
 	void SendStop(const TaskId &id);
 	[[nodiscard]] SentOrder SentOrderTo(const ShardBox &box) const;
+	/** Notes what the outcome of an order says about the box. @return Whether the caller is to process the answer: not
+	 * when the token was refused or the incarnation has ended. */
 	bool ProcessOutcome(const SentOrder &sent, const OrderAnswer &answer);
 	[[nodiscard]] static bool FromOtherIncarnation(const SentOrder &sent, const OrderAnswer &answer);
 	void OnStopped(const TaskId &id, RunNumber run, const BoxIncarnation &incarnation, const OrderAnswer &answer);
 
 	/* shard_boxes.cpp */
 	void RenewLease(ShardBox &box);
+	/** @return Whether no lease order needs to be sent to the box any more. */
 	[[nodiscard]] static bool Idle(const ShardBox &box);
 	void ScheduleRenewal(const BoxIncarnation &incarnation, Millis delay);
 	void OnLease(const SentOrder &sent, uint64_t acknowledged, const LeaseAnswer &answer);
 	void OnLeaseFailed(ShardBox &box, OrderOutcome outcome);
+	/** @return Whether turns are late and starts wait because this node has too little processor time. */
 	[[nodiscard]] bool Overloaded() const;
-	/** @return When the lease of a box may be renewed next. @param box The box. */
+	/** @return Earliest time for the next lease order to a box. @param box The box. */
 	[[nodiscard]] Millis RenewalDue(const ShardBox &box);
 	/** @return Mean of the expected end times of a box's runs. @param box The box. */
 	[[nodiscard]] Millis EndsExpected(const ShardBox &box);
+	/** @return How long a box may hold back its answer to the next lease order. */
 	[[nodiscard]] Millis LeaseWait(const ShardBox &box) const;
 	void NoteOutcome(ShardBox &box, Millis sent, OrderOutcome outcome);
 	void Adopt(ShardBox &box);
 	void ProcessRunning(ShardBox &box, const std::vector<RunningRow> &rows, Millis sent);
+	/** @return Whether any end in the list is new. */
 	bool ProcessEnded(ShardBox &box, const std::vector<EndedRow> &rows);
 	template <class Row>
 	void MarkListed(const std::vector<Row> &rows);
 	void ProcessMissing(ShardBox &box, Millis sent);
 	void StopUnknownRun(ShardBox &box, const RunningRow &row);
+	/** @return End of a lease requested now, by the box's clock; nothing when none may be requested. */
 	[[nodiscard]] std::optional<Millis> LeaseEnd(const ShardBox &box) const;
+	/** @return Owner's time at which all leases requested by earlier owners will have expired. */
 	[[nodiscard]] Millis EarlierLeasesEnd() const;
 	void NoteLeaseRequested(ShardBox &box, Millis until);
 	void NoteLongestLease(ShardBox &box) const;
@@ -316,49 +338,81 @@
 
 	/* shard_incarnations.cpp */
 	FenceToken NextFence();
+	/** @return Whether a later incarnation of the same id is known and has not ended. */
 	[[nodiscard]] bool Outdated(const BoxReport &report);
+	/** @return Known incarnations of an id, the oldest first. */
 	[[nodiscard]] std::vector<ShardBox *> IncarnationsOf(const BoxId &id);
 	void EndOtherIncarnations(ShardBox &current);
 	void EndIncarnation(ShardBox &box, const char *reason);
+	/** @return Whether the next incarnation of an ended box may still start the task's run by an earlier order. */
 	[[nodiscard]] bool MayStillArrive(const ShardBox &box, const ShardTask &task) const;
 	void ResolveLostRuns(ShardBox &box, const char *reason);
 	void LoseBox(ShardBox &box, const char *reason, CrashEvidence evidence);
+	/** @return Whether ended incarnations of an id still have runs that the next one may start. */
 	[[nodiscard]] bool HoldsRuns(const BoxId &id);
 	void ResolveHeldRuns(const BoxId &id, const char *reason);
 	void NoteOtherId(const BoxReport &report);
+	/** Moves a run to the box if it was placed on an ended incarnation of the same id. @return Whether a run listed by
+	 * the box is the current run of the task and is placed there. */
 	bool ClaimRun(ShardBox &box, const TaskId &id, ShardTask &task, RunNumber run);
 
 	/* shard_crashes.cpp */
 	[[nodiscard]] CrashEvidence EvidenceOf(const ShardBox &box) const;
+	/** Counts the end of a box against a task that was placed there, unless something else explains it. @return Whether
+	 * the task's job is to fail. */
 	bool NoteCrash(const ShardBox &box, const TaskId &id, CrashEvidence evidence);
-	[[nodiscard]] static bool CrashesBoxes(const StoredTask &task);
+	/** @return Whether the task has so many crashes that it isn't started any more. */
+	[[nodiscard]] static bool AtCrashLimit(const StoredTask &task);
+	/** @return Whether the task waits and hasn't reached the crash limit. */
 	[[nodiscard]] static bool Startable(const ShardTask &task);
+	/** Logs a counted crash. @param box The box. @param id The task. @param last_start Whether no other job's task had
+	 * just started there. */
 	void LogCrash(const ShardBox &box, const TaskId &id, bool last_start);
 	void ClearSuspicion(const ShardBox &box, const TaskId &id, ShardTask &task);
-	[[nodiscard]] static bool GivesUp(const ShardJob &job, const TaskId &id, bool last_start);
+	/** @return Whether crashes fail the job. @param job The job. @param id Task with the newest crash.
+	 * @param crash_attributed Whether that crash is attributed to the task. */
+	[[nodiscard]] static bool FailsJob(const ShardJob &job, const TaskId &id, bool crash_attributed);
 	void ScheduleIsolationCheck(const TaskId &id, RunNumber run);
 	void CheckIsolated(const TaskId &id, RunNumber run);
+	/** @return Whether the box was last heard from within JUST_STARTED of the task's start order. */
 	[[nodiscard]] static bool JustStarted(const ShardBox &box, const ShardTask &task);
+	/** @return Whether tasks of other jobs had just started on a box. @param box The box. @param job The job. @param
+	 * causes_too Whether sole crash causes count as well. */
 	[[nodiscard]] bool OthersJustStarted(const ShardBox &box, const JobId &job, bool causes_too);
+	/** @return Whether the task's next start is to be isolated. */
 	[[nodiscard]] bool StartsIsolated(const ShardTask &task) const;
+	/** @return Whether the task is a suspect that its box is not known to have run for ISOLATION_FOR. */
 	[[nodiscard]] static bool IsIsolated(const ShardBox &box, const ShardTask &task);
+	/** @return Job whose suspects are isolated on the box. */
 	[[nodiscard]] std::optional<JobId> IsolatedJobOn(const ShardBox &box) const;
+	/** @return Whether starts of different jobs on one box are spaced in time. */
 	[[nodiscard]] bool StartsSpaced() const { return this->scheduler.Now() < this->starts_spaced_until; }
 	void SpaceStarts();
+	/** @return Whether the task, when it waits, starts only on the quarantine box. */
 	[[nodiscard]] bool WaitsForQuarantine(const ShardTask &task) const;
+	/** @return Number of lasting tasks placed on the box. */
 	[[nodiscard]] int64_t CountLasting(const ShardBox &box) const;
+	/** @return Whether the task waits for the quarantine box now. */
 	[[nodiscard]] bool QuarantineWanted(const TaskId &id) const;
+	/** Chooses the quarantine box while crash causes wait. Takes it out of the round until only lasting tasks are
+	 * placed there. */
 	void ReserveQuarantineBox(PlaceRound &round);
+	/** @return Job whose task was placed or started on the box within START_SPACING. */
 	[[nodiscard]] std::optional<JobId> RecentStartOn(const ShardBox &box) const;
+	/** @return Whether few enough boxes are isolated for other jobs that this job's suspects may start. */
 	[[nodiscard]] static bool MayIsolate(const std::vector<OpenBox> &open, const JobId &job);
 
 	/* shard_drain.cpp */
 	void Evacuate(ShardBox &box);
 	void DrainBoxes();
+	/** @return Whether a box that can be reached has no report although the log has been reachable. */
 	[[nodiscard]] bool ReportMissing(const ShardBox &box, Millis now) const;
 	void NoteLogUnreachable();
+	/** @return Whether the last list of a box's runs can be relied on. */
 	[[nodiscard]] bool ListedRecently(const BoxIncarnation &incarnation) const;
+	/** @return Whether a planned stop of the task keeps within the step's limit of absent tasks. */
 	[[nodiscard]] bool MayStop(const ShardJob &job, const TaskId &id) const;
+	/** @return Whether tasks may be placed on the box now. */
 	[[nodiscard]] static bool AcceptsTasks(const ShardBox &box, Millis now);
 };
 
--- a/src/jobs/shard_boxes.cpp
+++ b/src/jobs/shard_boxes.cpp
@@ -11,19 +11,20 @@
 constexpr Millis RETRY_AFTER(300);      ///< Delay before the next lease order to an unreachable box.
 /** Consecutive orders without an answer that make a box unreachable. */
 constexpr uint32_t UNREACHABLE_AFTER_UNANSWERED = 2;
-/** Shorter wait of a box whose answers get lost, so that the end of a run is noticed 0.6 s late instead of 1.4 s. */
+/** Lease wait of a box whose answers get lost, so that the end of a run is noticed 0.6 s late instead of 1.4 s. */
 constexpr Millis LOSSY_WAIT(250);
 constexpr Millis LOSSY_FOR(5000); ///< Answers of a box are considered lossy for this long after two were lost.
 /** Minimum time between two lease orders to a box, so that ends are processed in batches. It grows with the number of
  * boxes that have runs: an owner sends at most RENEWALS_PER_SECOND_MAX lease orders a second to them as long as the gap
  * doesn't exceed RENEWAL_GAP_MAX. */
 constexpr Millis RENEWAL_GAP(25);
-/** Upper limit of that gap; with many boxes, the end of a step is noticed 50 ms later on average. */
+/** Upper limit of the gap between lease orders to a box; with many boxes, the end of a step is noticed 50 ms later on
+ * average. */
 constexpr Millis RENEWAL_GAP_MAX(100);
 constexpr int64_t RENEWALS_PER_SECOND_MAX = 600; ///< Lease orders per second to boxes that have runs.
 /** An owner is overloaded while its turns are this late and recorded starts wait to be sent. */
 constexpr double OVERLOADED_LATE_MS = 10;
-/** Starts that waited this recently count, since the next ones are still being recorded. */
+/** Starts count as waiting for this long after some last waited, since the next ones are still being recorded. */
 constexpr Millis STARTS_WAITED_WITHIN(500);
 /** Maximum time between two lease orders of an overloaded owner: what a box has listed is relied on for little longer
  * (see ListedRecently()). */
@@ -32,7 +33,7 @@
 constexpr Millis IDLE_WAIT(2000);
 /** Delay of the next lease order while ends can't be recorded, since the box answers at once each time. */
 constexpr Millis UNRECORDED_GAP(700);
-/** A box that has not answered for this long, beyond the wait, gets no new lease. */
+/** A box that has not answered for the lease wait plus this gets no new lease. */
 constexpr Millis NO_LEASE_AFTER(1500);
 constexpr Millis FORGET_AFTER(10000);     ///< A box without report, tasks and answers is forgotten after this time.
 constexpr size_t ENDS_PER_LIST_MAX = 500; ///< Maximum number of ends in a list; a list of this size may be incomplete.
@@ -56,19 +57,19 @@
 	}
 	const bool was_leaving = box.report.leaving;
 	const bool changed =
-			added || was_leaving != report.leaving || box.report.capacity != report.capacity || !box.listed;
+			added || was_leaving != report.leaving || box.report.capacity != report.capacity || !box.has_report;
 	box.report = report;
 	if (added) {
 		box.fence = this->NextFence();
 		/* None of our tasks runs there, but an earlier owner may have placed some that aren't known yet. */
-		box.lease_expired_at = this->EarlierLeasesEnd();
-		box.answered_at = box.listed_at = this->scheduler.Now();
+		box.leases_expire_at = this->EarlierLeasesEnd();
+		box.answered_at = box.runs_listed_at = this->scheduler.Now();
 	}
 	this->EndOtherIncarnations(box);
 	if (added) {
 		this->NoteOtherId(report);
 	}
-	box.listed = true;
+	box.has_report = true;
 	if (!changed) {
 		return;
 	}
@@ -95,10 +96,10 @@
 {
 	this->older_reports.erase(id);
 	for (ShardBox *box : this->IncarnationsOf(id)) {
-		if (!box->listed) {
+		if (!box->has_report) {
 			continue;
 		}
-		box->listed = false;
+		box->has_report = false;
 		this->boxes_changed = true;
 		this->log.Write("box_report_gone", {{"life", IncarnationText(box->report.incarnation)},
 											{"placed", std::to_string(box->placed.size())}});
@@ -117,7 +118,8 @@
 std::optional<Millis> Shard::LeaseEnd(const ShardBox &box) const
 {
 	const Millis now = this->scheduler.Now();
-	const bool unreachable = now - box.answered_at > std::max(box.wait, this->limits.lease_wait) + NO_LEASE_AFTER;
+	const bool unreachable =
+			now - box.answered_at > std::max(box.answer_wait, this->limits.lease_wait) + NO_LEASE_AFTER;
 	if (!box.clock || unreachable || now - this->journal.ConfirmedAt() > this->limits.owner_term) {
 		return std::nullopt;
 	}
@@ -130,8 +132,8 @@
 		return; /* No lease is requested before the box has reported its clock: see LeaseEnd(). */
 	}
 	const auto span = static_cast<double>((until - *box.clock).Value()) / CLOCK_RATE_MIN;
-	box.lease_expired_at =
-			std::max(box.lease_expired_at, box.clock_at + Millis(static_cast<int64_t>(span)) + LEASE_END_SLACK);
+	box.leases_expire_at =
+			std::max(box.leases_expire_at, box.clock_at + Millis(static_cast<int64_t>(span)) + LEASE_END_SLACK);
 }
 
 void Shard::NoteLongestLease(ShardBox &box) const
@@ -139,7 +141,7 @@
 	/* Its clock started anew, so lease ends in orders to the previous incarnation lie far in its future. */
 	const auto span = static_cast<double>(this->limits.lease_max.Value()) / CLOCK_RATE_MIN;
 	const Millis end = this->scheduler.Now() + Millis(static_cast<int64_t>(span)) + LEASE_END_SLACK;
-	box.lease_expired_at = std::max(box.lease_expired_at, end);
+	box.leases_expire_at = std::max(box.leases_expire_at, end);
 }
 
 void Shard::ScheduleRenewal(const BoxIncarnation &incarnation, Millis delay)
@@ -168,7 +170,7 @@
 	}
 	/* Renewals that each return one end take the time in which starts could be sent. The owner would fall further
 	 * behind and ends would arrive one by one, so process several at once. */
-	const Millis pause_end = box.listed_at + RENEWAL_PAUSE_MAX;
+	const Millis pause_end = box.runs_listed_at + RENEWAL_PAUSE_MAX;
 	return std::max(due, box.placed.empty() ? pause_end : std::min(pause_end, this->EndsExpected(box)));
 }
 
@@ -188,7 +190,7 @@
 			n++;
 		}
 	}
-	return n == 0 ? box.listed_at : Millis(sum / n);
+	return n == 0 ? box.runs_listed_at : Millis(sum / n);
 }
 
 Millis Shard::LeaseWait(const ShardBox &box) const
@@ -230,7 +232,7 @@
 {
 	/* An incarnation without report and tasks has moved away or ended. With 1,100 boxes, such ones were sent 34 lease
 	 * orders each until they were forgotten, 150 a second in total, each over a new connection. */
-	return !box.listed && box.placed.empty() && (box.unreachable || box.ends_acknowledged == box.ends_seen);
+	return !box.has_report && box.placed.empty() && (box.unreachable || box.ends_acknowledged == box.ends_seen);
 }
 
 void Shard::RenewLease(ShardBox &box)
@@ -247,11 +249,11 @@
 	}
 	LeaseOrder order;
 	order.fence = box.fence;
-	/* An incarnation that has started unnoticed would forget ends of its own that have the numbers of its
-	 * predecessor's. */
+	/* If the agent has restarted, its ends are numbered anew: by the numbers of the previous incarnation it would
+	 * forget ends that aren't recorded. */
 	order.ends_noted = box.may_have_restarted ? 0 : box.ends_durable;
 	order.lease_until = this->LeaseEnd(box);
-	order.wait = box.wait = this->LeaseWait(box);
+	order.wait = box.answer_wait = this->LeaseWait(box);
 	if (order.lease_until) {
 		this->NoteLeaseRequested(box, *order.lease_until);
 	}
@@ -284,14 +286,14 @@
 		return;
 	}
 	const Millis now = this->scheduler.Now();
-	box.listed_at = now;
+	box.runs_listed_at = now;
 	box.may_have_restarted = false;
 	box.ends_acknowledged = std::max(box.ends_acknowledged, acknowledged);
 	if (answer.order.box_clock) {
 		box.clock = answer.order.box_clock;
 		box.clock_at = now;
 	}
-	this->last_renewal++;
+	this->newest_listing++;
 	this->MarkListed(answer.running);
 	this->MarkListed(answer.ended);
 	const bool was_isolated = this->IsolatedJobOn(box).has_value();
@@ -351,12 +353,12 @@
 		this->jobs.at(row.task.job).begun = true;
 		if (task->run_state != RunState::RS_RUNNING) {
 			task->run_state = RunState::RS_RUNNING;
-			task->settled_at = sent;
+			task->state_known_at = sent;
 		}
 		if (!row.saved.empty()) {
 			task->saved = row.saved;
 		}
-		task->at_work = row.share == FULL_PACE;
+		task->at_full_pace = row.share == FULL_PACE;
 		this->ClearSuspicion(box, row.task, *task);
 		if (task->stop_wanted && !task->stop_confirmed) {
 			this->SendStop(row.task);
@@ -403,7 +405,7 @@
 {
 	for (const Row &row : rows) {
 		if (ShardTask *task = this->FindTask(row.task); task != nullptr && task->run == row.run) {
-			task->listed_by = this->last_renewal;
+			task->last_listing = this->newest_listing;
 		}
 	}
 }
@@ -413,20 +415,20 @@
 	this->counters.tasks_walked += box.placed.size();
 	std::vector<TaskId> missing;
 	std::ranges::copy_if(box.placed, std::back_inserter(missing),
-						 [this](const TaskId &it) { return this->FindTask(it)->listed_by != this->last_renewal; });
+						 [this](const TaskId &it) { return this->FindTask(it)->last_listing != this->newest_listing; });
 	for (const TaskId &id : missing) {
 		ShardTask *task = this->FindTask(id);
 		if (task == nullptr || task->phase != TaskPhase::TP_PLACED) {
 			continue;
 		}
 		if (task->run_state == RunState::RS_RESTORED) {
-			/* The box has seen our token, so it refuses orders of earlier owners. */
+			/* The box has seen this owner's token, so it refuses orders of earlier owners. */
 			this->EndRun(id, RunEnding::RE_STOPPED, {}, "not_there");
-		} else if (task->stop_confirmed && task->settled_at < sent) {
+		} else if (task->stop_confirmed && task->state_known_at < sent) {
 			this->EndRun(id, RunEnding::RE_STOPPED, {}, "stopped_before_start");
-		} else if (task->run_state == RunState::RS_UNKNOWN && task->settled_at < sent) {
+		} else if (task->run_state == RunState::RS_UNKNOWN && task->state_known_at < sent) {
 			this->SendStart(PendingStart{id, task->run});
-		} else if (task->run_state == RunState::RS_RUNNING && task->settled_at < sent) {
+		} else if (task->run_state == RunState::RS_RUNNING && task->state_known_at < sent) {
 			/* The order may still arrive; only a stop makes sure that it isn't carried out. */
 			this->WantStop(id, *task, "not_listed");
 		}
@@ -447,19 +449,19 @@
 	std::vector<BoxIncarnation> forget;
 	for (auto &[incarnation, box] : this->boxes) {
 		busy += box.placed.empty() ? 0 : 1;
-		const bool lapsed = !box.over && now >= box.lease_expired_at && now - box.answered_at > this->limits.lease_wait;
+		const bool lapsed = !box.over && now >= box.leases_expire_at && now - box.answered_at > this->limits.lease_wait;
 		if (lapsed && !box.placed.empty()) {
 			this->LoseBox(box, "lease_lapsed", CrashEvidence::CE_POSSIBLE);
 		} else if (box.over && !box.placed.empty()) {
 			this->ResolveLostRuns(box, "never_carried_out");
 		}
-		const bool forgettable = !box.listed && box.placed.empty() && !box.lease_order_under_way;
+		const bool forgettable = !box.has_report && box.placed.empty() && !box.lease_order_under_way;
 		if (forgettable && (box.over || now - box.answered_at > FORGET_AFTER)) {
 			forget.push_back(incarnation);
 		}
 	}
 	this->SetRenewalGap(busy);
-	std::erase_if(this->held, [this](const BoxId &it) { return !this->HoldsRuns(it); });
+	std::erase_if(this->held_ids, [this](const BoxId &it) { return !this->HoldsRuns(it); });
 	for (const BoxIncarnation &incarnation : forget) {
 		this->scheduler.Cancel(this->boxes.at(incarnation).timer);
 		this->boxes.erase(incarnation);
--- a/src/jobs/shard_crashes.cpp
+++ b/src/jobs/shard_crashes.cpp
@@ -1,16 +1,17 @@
 /** @file shard_crashes.cpp Shard: detection of tasks that crash the boxes that start them.
  *
  * A crashing box ends up to some twenty runs, most of which did not cause the crash. The only evidence about a run is
- * how long its box stayed up after the run started, so only runs that had just started count a crash. Those among the
- * last starts become suspects; a suspect restarts isolated, which means that no other job's task starts beside it until
- * the box has answered afterwards. While tasks crash boxes, starts of different jobs on one box are spaced in time, so
- * that a crash can be attributed to one job. The tasks of that job are isolated crash causes. All of these start
- * together on a quarantine box, which is kept empty for them.
+ * how long its box stayed up after the start, so a run counts the crash only when the box ended soon after the start or
+ * had not confirmed it. A task that had just started then, or whose start had no answer, becomes a suspect. A suspect
+ * restarts isolated: until the box has answered ISOLATION_FOR after the start, only suspects of the same job start
+ * beside it. While tasks crash boxes, starts of different jobs on one box are spaced in time, so that a crash can be
+ * attributed to one job. Tasks that had just started when no other job's task had are sole crash causes. All sole crash
+ * causes start together on a quarantine box, on which only lasting tasks may stay.
  *
- * A job fails when two boxes have crashed with one of its tasks, provided that the second crash is attributed to the
- * task or only other crash causes had just started beside it; it also fails when four boxes have crashed. A lasting
- * task is just not started any more after four crashes: other tasks of its job may be running, and failing the job
- * would stop those as well. */
+ * A job fails when two boxes have crashed with one of its tasks, provided that the newest crash is attributed to the
+ * task: no other job's task had just started, or only other sole crash causes had. It also fails when four boxes have
+ * crashed or may have crashed with one of its tasks. A lasting task is just not started any more after four crashes,
+ * since other tasks of its job may be running; the job fails once all its tasks have reached that limit. */
 #include "shard_base.h"
 
 #include <algorithm>
@@ -19,52 +20,59 @@
 
 namespace {
 
-/** A run whose box stayed up this long after the start doesn't count a crash, since lasting tasks see crashes of all
- * causes. A task that crashes its boxes later is not detected. For lasting tasks the limit is ISOLATION_FOR: with many
- * boxes crashing, tasks whose boxes had stayed up for 0.6 to 1.1 s each time were given up after four crashes. */
+/** A run whose box stayed up this long after the start doesn't count the crash, and clears the task's counts. A task
+ * that crashes its boxes later is not detected. Lasting tasks see crashes of all causes, so they count them only up to
+ * ISOLATION_FOR: with the longer limit and many boxes crashing, tasks whose boxes had stayed up for 0.6 to 1.1 s each
+ * time were not started any more after four crashes. */
 constexpr Millis PROVEN_AFTER(2000);
-/** Time that a suspect is isolated: nothing else starts beside it, and the box is sent an order at the end. */
+/** Time after the start for which a suspect stays isolated; the box is sent an order at the end to learn that it is
+ * still up. */
 constexpr Millis ISOLATION_FOR(300);
-/** Time that a run counts as one of the last starts of its box: a task that crashes boxes does so within 10 ms, and
- * answers take up to some tens of ms. */
+/** A run has just started when its box was last heard from less than this after the start order: a task that crashes
+ * boxes does so within 10 ms, and answers take up to some tens of ms. */
 constexpr Millis JUST_STARTED(60);
 /** Time between starts of different jobs on one box while tasks crash boxes. Longer than JUST_STARTED, so that a crash
  * is attributed to one job. */
 constexpr Millis START_SPACING(80);
 /** Starts are spaced for this long after a crash that a task may have caused. */
 constexpr Millis STARTS_SPACED_FOR(10000);
-/** A task that was the last start is given up after this many crashes, the minimum that the platform allows. */
+/** A job fails when this many boxes have certainly crashed with a task and the newest crash is attributed to it; the
+ * minimum that the platform allows. */
 constexpr uint32_t CRASHES_CONFIRMED = 2;
-/** Any task is given up after this many crashes, including possible ones: after three crashes it may be started twice
- * more (platform rules), and one crash of each kind may not have been counted. */
+/** A task isn't started any more after this many crashes, certain and possible ones, and its job fails unless the task
+ * is lasting. After three crashes a task may be started twice more (platform rules), and one crash of each kind may not
+ * have been counted. */
 constexpr uint32_t CRASHES_MAX = 4;
-/** One of this many boxes may have an isolated start at a time. With fewer, ordinary jobs wait while boxes crash for
- * other reasons. */
+/** One in this many open boxes, but at least one box, may be isolated at a time. If more were isolated, ordinary jobs
+ * would wait while boxes crash for other reasons. */
 constexpr size_t BOXES_PER_ISOLATED_START = 2;
 /** A suspect of a single crash waits this long for an isolated start, then starts like other tasks: a job must run
  * within 3 s once it is due (platform rules). */
 constexpr Millis ISOLATION_WAIT_MAX(1500);
-/** A crash cause waits this long for the quarantine box, where it ends no other runs; that is the time of two runs of
- * quick tasks. Then it starts like other suspects: a job must run within 3 s once it is due (platform rules). */
+/** A sole crash cause waits this long for the quarantine box, where it ends no runs but lasting ones; that is the time
+ * of two runs of quick tasks. Then it starts like other suspects: a job must run within 3 s once it is due (platform
+ * rules). */
 constexpr Millis QUARANTINE_WAIT_MAX(2000);
-/** Reports are reliable when the store was last unreachable at least this long ago. */
+/** A report that is present is reliable when the log was last unreachable at least this long ago. */
 constexpr Millis REPORTS_SURE_AFTER(10000);
 
 } // namespace
 
 CrashEvidence Shard::EvidenceOf(const ShardBox &box) const
 {
-	/* Boxes that are moved or maintained are drained before, and a box that leaves reports so or removes its report. A
-	 * missing report may also have expired since the crash, an order to take the box down may be carried out seconds
-	 * late or never, and while the store is unreachable none of this is seen. */
+	/* A box is drained before it is moved or maintained, and one that leaves reports so or removes its report. Without
+	 * a report, it is only possible that the box crashed: the report may have been removed or have expired since. The
+	 * same holds while an order to take the box down may still be carried out, which may be seconds late or never, and
+	 * while the log and with it the reports can't be read. */
 	const Millis now = this->scheduler.Now();
-	/* A drain that started after the box was last heard from doesn't explain why it ended: a wave may choose a box that
-	 * is down after a crash. */
+	/* A drain that started after the last answer of the box doesn't explain why it ended: a maintenance wave may choose
+	 * a box that is down after a crash. */
 	const bool emptied = now < box.drain_until && box.answered_at >= box.drain_since;
 	if (box.report.leaving || emptied) {
 		return CrashEvidence::CE_NONE;
 	}
-	const bool sure = box.listed && now >= box.planned_until && now - this->log_unreachable_at >= REPORTS_SURE_AFTER;
+	const bool sure =
+			box.has_report && now >= box.planned_end_until && now - this->log_unreachable_at >= REPORTS_SURE_AFTER;
 	return sure ? CrashEvidence::CE_CERTAIN : CrashEvidence::CE_POSSIBLE;
 }
 
@@ -84,10 +92,10 @@
 
 std::optional<JobId> Shard::RecentStartOn(const ShardBox &box) const
 {
-	/* The last start is kept with the box, since checking every placed task in each round costs too much with many
-	 * boxes. */
-	const bool fresh = this->scheduler.Now() - box.last_start_at < START_SPACING;
-	return fresh ? std::optional(box.last_start) : std::nullopt;
+	/* Uses the start noted with the box, since checking every placed task in each round costs too much with many boxes.
+	 */
+	const bool recent = this->scheduler.Now() - box.last_start_at < START_SPACING;
+	return recent ? std::optional(box.last_start) : std::nullopt;
 }
 
 bool Shard::OthersJustStarted(const ShardBox &box, const JobId &job, bool causes_too)
@@ -100,7 +108,7 @@
 
 bool Shard::WaitsForQuarantine(const ShardTask &task) const
 {
-	return task.crash_cause && this->scheduler.Now() - task.since < QUARANTINE_WAIT_MAX;
+	return task.crash_cause && this->scheduler.Now() - task.phase_since < QUARANTINE_WAIT_MAX;
 }
 
 int64_t Shard::CountLasting(const ShardBox &box) const
@@ -130,7 +138,7 @@
 	auto box = std::ranges::find_if(
 			round.open, [this](const OpenBox &it) { return it.box->report.incarnation == this->quarantine_box; });
 	if (box == round.open.end()) {
-		/* Lasting tasks would keep it from becoming empty. */
+		/* Lasting tasks would stay there and be lost in a crash, so take a box with the fewest. */
 		box = std::ranges::max_element(round.open, {}, [this](const OpenBox &it) {
 			return std::pair(-this->CountLasting(*it.box), it.free.cpu);
 		});
@@ -138,74 +146,75 @@
 		this->log.Write("trial_box", {{"life", IncarnationText(*this->quarantine_box)},
 									  {"placed", std::to_string(box->box->placed.size())}});
 	}
-	/* All waiting crash causes start there in one round; in a later round some would already have started. */
+	/* The box is open only while no other tasks but lasting ones are placed there. So all waiting crash causes start in
+	 * one round; those that come later wait until these have ended, for QUARANTINE_WAIT_MAX at most. */
 	if (this->CountLasting(*box->box) == std::ssize(box->box->placed)) {
-		box->quarantine_box = round.quarantine_box = true;
+		box->is_quarantine = round.has_quarantine = true;
 	} else {
 		round.open.erase(box);
 	}
 }
 
-bool Shard::CrashesBoxes(const StoredTask &task)
+bool Shard::AtCrashLimit(const StoredTask &task)
 {
 	return task.crashes + task.crashes_possible >= CRASHES_MAX;
 }
 
 bool Shard::Startable(const ShardTask &task)
 {
-	return task.phase == TaskPhase::TP_WAITING && !CrashesBoxes(task);
+	return task.phase == TaskPhase::TP_WAITING && !AtCrashLimit(task);
 }
 
-bool Shard::GivesUp(const ShardJob &job, const TaskId &id, bool last_start)
+bool Shard::FailsJob(const ShardJob &job, const TaskId &id, bool crash_attributed)
 {
 	const ShardTask &task = job.tasks[job.IndexOf(id)];
 	if (job.spec.steps[id.step].lasting) {
-		return std::ranges::all_of(job.tasks, [](const ShardTask &it) { return CrashesBoxes(it); });
+		return std::ranges::all_of(job.tasks, [](const ShardTask &it) { return AtCrashLimit(it); });
 	}
-	return CrashesBoxes(task) || (task.crashes >= CRASHES_CONFIRMED && last_start);
+	return AtCrashLimit(task) || (task.crashes >= CRASHES_CONFIRMED && crash_attributed);
 }
 
 bool Shard::NoteCrash(const ShardBox &box, const TaskId &id, CrashEvidence evidence)
 {
 	ShardJob &job = this->jobs.at(id.job);
 	ShardTask &task = job.tasks[job.IndexOf(id)];
-	const bool had_started = task.run_state == RunState::RS_RUNNING;
+	const bool was_running = task.run_state == RunState::RS_RUNNING;
 	const bool restored = task.run_state == RunState::RS_RESTORED;
 	const Millis uptime = box.answered_at - task.ordered_at;
 	const bool ignored = evidence == CrashEvidence::CE_NONE || task.run_state == RunState::RS_RECORDING;
-	/* A lasting task that is given up stays absent for good, so only the shorter time counts for it. */
+	/* A lasting task that reaches the crash limit is never started again, so only the shorter time counts for it. */
 	const Millis proven = job.spec.steps[id.step].lasting ? ISOLATION_FOR : PROVEN_AFTER;
-	if (ignored || (had_started && uptime >= proven)) {
+	if (ignored || (was_running && uptime >= proven)) {
 		return false;
 	}
 	const bool others = this->OthersJustStarted(box, id.job, true);
-	const bool fresh = (!had_started && !restored) || JustStarted(box, task);
-	const bool was_suspect = std::exchange(task.suspect, task.suspect || fresh || task.crashes > 0);
-	if (evidence == CrashEvidence::CE_POSSIBLE || !had_started) {
-		/* A first start without an answer was mostly sent to a box that another task had crashed, so it isn't counted.
-		 * One recorded by an earlier owner is counted; otherwise nodes that fail one after another would hide as many
-		 * crashes. */
-		const bool explained_by_others = !had_started && !restored && others && !was_suspect;
+	const bool may_be_cause = (!was_running && !restored) || JustStarted(box, task);
+	const bool was_suspect = std::exchange(task.suspect, task.suspect || may_be_cause || task.crashes > 0);
+	if (evidence == CrashEvidence::CE_POSSIBLE || !was_running) {
+		/* A start without an answer is not counted when tasks of other jobs had just started and this one wasn't a
+		 * suspect yet: mostly the box had already been crashed by one of the others. A run recorded by an earlier owner
+		 * is counted, since owners that fail one after another would otherwise hide a crash each. */
+		const bool explained_by_others = !was_running && !restored && others && !was_suspect;
 		task.crashes_possible += explained_by_others ? 0 : 1;
-		return GivesUp(job, id, false);
+		return FailsJob(job, id, false);
 	}
 	task.crashes++;
 	this->counters.crashed++;
 	const bool just_started = JustStarted(box, task);
-	const bool last_start = just_started && !others;
+	const bool sole_start = just_started && !others;
 	if (just_started) {
 		this->SpaceStarts();
 	}
-	this->LogCrash(box, id, last_start);
-	/* Beside other crash causes, a crash counts against each of them: they were started together to lose only one box.
-	 */
-	const bool confirmed =
-			last_start || (just_started && task.crash_cause && !this->OthersJustStarted(box, id.job, false));
-	if (last_start) {
+	this->LogCrash(box, id, sole_start);
+	/* A crash is attributed to each sole crash cause that had just started when nothing else had: these are started
+	 * together so that only one box is lost. */
+	const bool attributed =
+			sole_start || (just_started && task.crash_cause && !this->OthersJustStarted(box, id.job, false));
+	if (sole_start) {
 		task.crash_cause = true;
 		this->crash_causes.insert(id);
 	}
-	return GivesUp(job, id, confirmed);
+	return FailsJob(job, id, attributed);
 }
 
 void Shard::LogCrash(const ShardBox &box, const TaskId &id, bool last_start)
@@ -228,7 +237,7 @@
 	if (!counted || box.answered_at - task.ordered_at < PROVEN_AFTER) {
 		return;
 	}
-	/* The boxes it was lost with have crashed for other reasons. */
+	/* Since this box stayed up, the earlier ones have crashed for other reasons. */
 	task.suspect = task.crash_cause = false;
 	task.crashes = task.crashes_possible = 0;
 	this->MarkDirty(id.job);
@@ -237,7 +246,7 @@
 bool Shard::StartsIsolated(const ShardTask &task) const
 {
 	return task.suspect && (task.crashes + task.crashes_possible >= CRASHES_CONFIRMED ||
-							this->scheduler.Now() - task.since < ISOLATION_WAIT_MAX);
+							this->scheduler.Now() - task.phase_since < ISOLATION_WAIT_MAX);
 }
 
 bool Shard::IsIsolated(const ShardBox &box, const ShardTask &task)
@@ -263,8 +272,9 @@
 	if (box == this->boxes.end() || box->second.over || task->stop_wanted) {
 		return;
 	}
-	/* The lease order under way may be answered seconds later. If the box crashed for another reason, it would then be
-	 * unknown whether that was 10 ms or 2 s after the start. Ordering the current pace has no effect on the run. */
+	/* Makes the box answer now, since the lease order under way may be answered only seconds later. If the box crashed
+	 * in between, it would be unknown whether that was 10 ms or 2 s after the start. Full pace is the pace at which
+	 * runs start, and no other order changes it, so this order has no effect on the run. */
 	this->orders.Pace(box->second.report, id, run, FULL_PACE, box->second.fence,
 					  [this, sent = this->SentOrderTo(box->second),
 					   still = std::weak_ptr<bool>(this->alive)](const OrderAnswer &answer) {
--- a/src/jobs/shard_drain.cpp
+++ b/src/jobs/shard_drain.cpp
@@ -14,8 +14,8 @@
 constexpr Millis CONFIRMED_WITHIN(1000); ///< An owner is confirmed every 0.35 s; a slow store takes 0.6 s.
 /** The log counts as unreachable when it has not confirmed the owner for this long: three confirmations. */
 constexpr Millis LOG_UNREACHABLE_AFTER(1500);
-/** Reports that expired while the store was unreachable are back within 2 s of its recovery (platform documentation on
- * discovery), plus one poll of the reports. */
+/** Reports that expired while the log and the store of reports were unreachable are back within 2 s of its recovery
+ * (platform documentation on discovery), plus one poll of the reports. */
 constexpr Millis REPORT_BACK_WITHIN(2300);
 
 } // namespace
@@ -39,7 +39,7 @@
 		const bool drained = drain.contains(box.report.box);
 		box.drain_since = drained && box.drain_until <= now ? now : box.drain_since;
 		box.drain_until = drained ? now + DRAIN_FOR : Millis(0);
-		box.planned_until = drained ? now + PLANNED_END_WITHIN : box.planned_until;
+		box.planned_end_until = drained ? now + PLANNED_END_WITHIN : box.planned_end_until;
 		box.due = due.contains(box.report.box);
 	}
 	this->boxes_changed = true;
@@ -51,7 +51,7 @@
 	const auto it = this->boxes.find(incarnation);
 	const Millis within = this->limits.lease_wait + LIST_OVERDUE;
 	return it != this->boxes.end() && !it->second.over && !it->second.unreachable &&
-		   this->scheduler.Now() - it->second.listed_at <= within;
+		   this->scheduler.Now() - it->second.runs_listed_at <= within;
 }
 
 bool Shard::MayStop(const ShardJob &job, const TaskId &id) const
@@ -64,7 +64,7 @@
 	for (TaskId other = id; const uint32_t index : std::views::iota(0U, step.count)) {
 		other.index = index;
 		const ShardTask &task = job.tasks[job.IndexOf(other)];
-		const bool working = task.phase == TaskPhase::TP_PLACED && task.at_work && !task.stop_wanted &&
+		const bool working = task.phase == TaskPhase::TP_PLACED && task.at_full_pace && !task.stop_wanted &&
 							 this->ListedRecently(task.box);
 		absent += index != id.index && !working ? 1 : 0;
 	}
@@ -81,8 +81,8 @@
 
 bool Shard::ReportMissing(const ShardBox &box, Millis now) const
 {
-	/* It may shut down within seconds without reporting that it leaves. */
-	return !box.listed && box.adopted && !box.unreachable && now - this->log_unreachable_at >= REPORT_BACK_WITHIN;
+	/* A box whose report was removed may shut down within seconds without reporting that it leaves. */
+	return !box.has_report && box.adopted && !box.unreachable && now - this->log_unreachable_at >= REPORT_BACK_WITHIN;
 }
 
 void Shard::DrainBoxes()
@@ -109,7 +109,7 @@
 
 bool Shard::AcceptsTasks(const ShardBox &box, Millis now)
 {
-	return box.listed && box.adopted && !box.unreachable && !box.over && !box.report.leaving && !box.unknown_runs &&
+	return box.has_report && box.adopted && !box.unreachable && !box.over && !box.report.leaving && !box.unknown_runs &&
 		   box.clock && now >= box.avoid_until && now >= box.drain_until;
 }
 
@@ -123,9 +123,9 @@
 	const Millis now = this->scheduler.Now();
 	BoxCounts out;
 	for (const ShardBox &box : this->boxes | std::views::values) {
-		out.listed += box.listed ? 1 : 0;
-		out.over += box.listed && box.over ? 1 : 0;
-		out.adopted += box.listed && box.adopted ? 1 : 0;
+		out.listed += box.has_report ? 1 : 0;
+		out.over += box.has_report && box.over ? 1 : 0;
+		out.adopted += box.has_report && box.adopted ? 1 : 0;
 		out.open += AcceptsTasks(box, now) ? 1 : 0;
 	}
 	return out;
@@ -175,7 +175,7 @@
 	out.waiting_cpu = cpu_of(ready);
 	out.late_cpu = cpu_of(late);
 	for (const auto &[incarnation, box] : this->boxes) {
-		if (box.listed && !box.over) {
+		if (box.has_report && !box.over) {
 			out.boxes.push_back(PoolBox{box.report.box, incarnation, static_cast<uint32_t>(box.placed.size()),
 										box.used.cpu, box.report.capacity.cpu, AcceptsTasks(box, now),
 										any_late ? this->LateCpuOn(box, wall_now) : 0});
--- a/src/jobs/shard_incarnations.cpp
+++ b/src/jobs/shard_incarnations.cpp
@@ -49,7 +49,7 @@
 		}
 		box->has_successor = true;
 		this->EndIncarnation(*box, "started_again");
-		box->listed = false; /* Its report was replaced. */
+		box->has_report = false; /* Its report was replaced. */
 	}
 }
 
@@ -68,7 +68,7 @@
 								 {"ends_noted", std::to_string(box.ends_durable)}});
 	this->LoseBox(box, reason, this->EvidenceOf(box));
 	if (!box.placed.empty()) {
-		this->held.insert(box.report.incarnation.id);
+		this->held_ids.insert(box.report.incarnation.id);
 	}
 	this->ScheduleTurn();
 	if (const auto older = this->older_reports.extract(box.report.incarnation.id); !older.empty()) {
@@ -109,15 +109,15 @@
 
 void Shard::LoseBox(ShardBox &box, const char *reason, CrashEvidence evidence)
 {
-	/* Evaluate all tasks before any of them is removed from the box. */
-	std::set<JobId> confirmed;
+	/* Counts crashes of all tasks before any is removed, since NoteCrash() checks which others had just started. */
+	std::set<JobId> failing;
 	for (const TaskId &id : box.placed) {
 		if (this->NoteCrash(box, id, evidence)) {
-			confirmed.insert(id.job);
+			failing.insert(id.job);
 		}
 	}
 	this->ResolveLostRuns(box, reason);
-	for (const JobId &id : confirmed) {
+	for (const JobId &id : failing) {
 		if (ShardJob &job = this->jobs.at(id); !job.Over()) {
 			this->counters.given_up++;
 			this->EndJob(job, JobPhase::JP_FAILED, "crashes_boxes");
@@ -133,7 +133,7 @@
 
 void Shard::ResolveHeldRuns(const BoxId &id, const char *reason)
 {
-	if (this->held.erase(id) == 0) {
+	if (this->held_ids.erase(id) == 0) {
 		return;
 	}
 	for (ShardBox *box : this->IncarnationsOf(id)) {
@@ -145,8 +145,8 @@
 
 void Shard::NoteOtherId(const BoxReport &report)
 {
-	/* A machine has one agent, so nobody answers under its earlier ids. */
-	for (const BoxId &id : std::set<BoxId>(this->held)) {
+	/* A machine has one agent, so no agent answers under its earlier ids. */
+	for (const BoxId &id : std::set<BoxId>(this->held_ids)) {
 		const std::vector<ShardBox *> incarnations = this->IncarnationsOf(id);
 		const bool here = std::ranges::any_of(
 				incarnations, [&report](const ShardBox *it) { return it->over && it->report.box == report.box; });
--- a/src/jobs/shard_jobs.cpp
+++ b/src/jobs/shard_jobs.cpp
@@ -25,10 +25,10 @@
 		   task.index < this->spec.steps[task.step].count;
 }
 
-TaskId ShardJob::TaskAt(size_t place) const
+TaskId ShardJob::TaskAt(size_t position) const
 {
-	TaskId id{this->spec.id, static_cast<uint32_t>(place / this->per_occurrence), 0, 0};
-	const auto rest = static_cast<uint32_t>(place % this->per_occurrence);
+	TaskId id{this->spec.id, static_cast<uint32_t>(position / this->per_occurrence), 0, 0};
+	const auto rest = static_cast<uint32_t>(position % this->per_occurrence);
 	const auto next_step = std::ranges::upper_bound(this->step_offsets, rest);
 	id.step = static_cast<uint32_t>(std::distance(this->step_offsets.begin(), next_step)) - 1;
 	id.index = rest - this->step_offsets[id.step];
@@ -70,7 +70,7 @@
 		job.per_occurrence += step.count;
 	}
 	job.tasks.resize(size_t{job.per_occurrence} * spec.Occurrences());
-	std::ranges::for_each(job.tasks, [&job](ShardTask &it) { it.since = job.taken_at; });
+	std::ranges::for_each(job.tasks, [&job](ShardTask &it) { it.phase_since = job.taken_at; });
 	return job;
 }
 
@@ -106,7 +106,7 @@
 				static_cast<StoredTask &>(task) = it;
 				task.run_state = RunState::RS_RESTORED;
 				task.stop_wanted = task.stop_recorded = task.leaving;
-				task.since = task.ordered_at = job.taken_at;
+				task.phase_since = task.ordered_at = job.taken_at;
 				task.suspect = it.crashes + it.crashes_possible > 0;
 				return task;
 			});
@@ -117,8 +117,8 @@
 	if (!kept.Over() && std::ranges::any_of(kept.tasks, [](const ShardTask &it) { return it.crashes > 0; })) {
 		this->SpaceStarts();
 	}
-	for (size_t place = 0; place < kept.tasks.size(); place++) {
-		ShardTask &task = kept.tasks[place];
+	for (size_t position = 0; position < kept.tasks.size(); position++) {
+		ShardTask &task = kept.tasks[position];
 		if (task.phase != TaskPhase::TP_PLACED) {
 			continue;
 		}
@@ -127,11 +127,11 @@
 			/* Its report has not arrived yet, if there is one. */
 			it->second.report.incarnation = task.box;
 			it->second.fence = this->NextFence();
-			it->second.listed = false;
-			it->second.lease_expired_at = this->EarlierLeasesEnd();
+			it->second.has_report = false;
+			it->second.leases_expire_at = this->EarlierLeasesEnd();
 		}
-		this->AddToBox(it->second, kept, kept.TaskAt(place));
-		this->book.Add(spec.account, spec.steps[kept.TaskAt(place).step].demand);
+		this->AddToBox(it->second, kept, kept.TaskAt(position));
+		this->book.Add(spec.account, spec.steps[kept.TaskAt(position).step].demand);
 	}
 	this->log.Write("job_taken", {{"job", spec.id.Value()},
 								  {"route", spec.route.Value()},
@@ -153,9 +153,9 @@
 		this->EndJob(kept, JobPhase::JP_CANCELLED, "cancelled");
 	}
 	if (kept.Over()) {
-		for (size_t place = 0; place < kept.tasks.size(); place++) {
-			if (kept.tasks[place].phase == TaskPhase::TP_PLACED) {
-				this->WantStop(kept.TaskAt(place), kept.tasks[place], "job_over");
+		for (size_t position = 0; position < kept.tasks.size(); position++) {
+			if (kept.tasks[position].phase == TaskPhase::TP_PLACED) {
+				this->WantStop(kept.TaskAt(position), kept.tasks[position], "job_over");
 			}
 		}
 	}
@@ -211,7 +211,8 @@
 		}
 		/* The box itself answers whether its unlisted agent has another incarnation by now. Without the removed
 		 * report's address, its tasks would wait until its lease must have expired. */
-		if (const auto it = this->removed_reports.find(incarnation); it != this->removed_reports.end() && !box.listed) {
+		if (const auto it = this->removed_reports.find(incarnation);
+			it != this->removed_reports.end() && !box.has_report) {
 			box.report = it->second;
 		}
 		this->RenewLease(box);
@@ -338,9 +339,9 @@
 								 {"phase", NameOf(phase)},
 								 {"why", reason},
 								 {"age_ms", std::to_string((this->scheduler.Now() - job.taken_at).Value())}});
-	for (size_t place = 0; place < job.tasks.size(); place++) {
-		if (job.tasks[place].phase == TaskPhase::TP_PLACED) {
-			this->WantStop(job.TaskAt(place), job.tasks[place], reason);
+	for (size_t position = 0; position < job.tasks.size(); position++) {
+		if (job.tasks[position].phase == TaskPhase::TP_PLACED) {
+			this->WantStop(job.TaskAt(position), job.tasks[position], reason);
 		}
 	}
 	this->MarkDirty(job.spec.id);
--- a/src/jobs/shard_owner.cpp
+++ b/src/jobs/shard_owner.cpp
@@ -13,7 +13,8 @@
 /** An owner that has appended nothing for this long appends its owner record: this shows whether it still is the owner
  * and whether the log is reachable. */
 constexpr Millis CONFIRM_EVERY(250);
-/** Interval of checks whether that is due; the longest time between confirmations is 0.35 s. */
+/** Interval of checks whether CONFIRM_EVERY has passed since the last append; confirmations are at most 0.35 s apart.
+ */
 constexpr Millis CONFIRM_CHECK_EVERY(100);
 constexpr Millis LOAD_LOG_EVERY(1000); ///< Interval of log lines on the load of an owner.
 /** @return Key in the inbox for a record of the progress partition. Submissions and cancellations are stored there as
@@ -27,7 +28,7 @@
 }
 
 /** Long polls, so that a submission is read at once. */
-constexpr PollTiming INBOX_PACE{Millis(1000), Millis(0), Millis(100)};
+constexpr PollTiming INBOX_POLL_TIMING{Millis(1000), Millis(0), Millis(100)};
 
 } // namespace
 
@@ -96,8 +97,9 @@
 	std::ranges::for_each(this->reports | std::views::values,
 						  [this](const BoxReport &it) { this->shard->OnReport(it); });
 	std::ranges::for_each(this->removed_reports, [this](const BoxReport &it) { this->shard->NoteRemovedReport(it); });
-	this->inbox = std::make_unique<KeyedFollower>(this->context.scheduler, this->context.log,
-												  PartitionId{this->progress.topic, INBOX_PARTITION}, INBOX_PACE);
+	this->inbox =
+			std::make_unique<KeyedFollower>(this->context.scheduler, this->context.log,
+											PartitionId{this->progress.topic, INBOX_PARTITION}, INBOX_POLL_TIMING);
 	this->inbox->on_record = [this](const KeyedRecord &it) { this->OnInbox(it); };
 	this->inbox->on_loaded = [this] { this->OnLoaded(); };
 	this->inbox->Start();
--- a/src/jobs/shard_owner.h
+++ b/src/jobs/shard_owner.h
@@ -55,15 +55,15 @@
 	void Release(const std::function<void()> &done);
 	/** Applies a configuration. @param config The configuration. */
 	void Configure(const JobConfig &config);
-	/** Accepts a record of a caller. @param record The record in the format of the inbox. @param done Called with RC_OK
-	 * once it is durable, RC_PEER_UNAVAILABLE or RC_LOG_UNAVAILABLE when it never will be. */
+	/** Accepts a record of a caller. @param record The record in the format of the inbox. @param done Called as
+	 * IncomingRecord::done is, or with RC_PEER_UNAVAILABLE when the shard isn't running here. */
 	void Accept(const KeyedRecord &record, std::function<void(ResultCode)> done);
 	/** Handles a report of a box. @param report The report. */
 	void OnReport(const BoxReport &report);
 	/** Handles the removal of a report. @param id Id of the box's agent. */
 	void OnReportRemoved(const BoxId &id);
-	/** Passes on the address of an incarnation whose report was removed before this owner has claimed the shard. @param
-	 * report Its last report. */
+	/** Keeps the last report of an incarnation whose report was removed before this owner has claimed the shard: orders
+	 * to it need its address. @param report The report. */
 	void NoteRemovedReport(const BoxReport &report) { this->removed_reports.push_back(report); }
 	/** @return Whether this node owns the shard according to the log. */
 	[[nodiscard]] bool Claimed() const { return this->journal != nullptr; }
@@ -71,13 +71,13 @@
 	[[nodiscard]] bool Waiting() const { return !this->journal && this->claim && this->claim->Waiting(); }
 	/** @return The shard once it has been loaded, otherwise null. */
 	[[nodiscard]] const Shard *Running() const { return this->running ? this->shard.get() : nullptr; }
-	/** @return The same, mutable. */
+	/** @return The shard, mutable, once it has been loaded, otherwise null. */
 	[[nodiscard]] Shard *Running() { return this->running ? this->shard.get() : nullptr; }
 	/** @return Whether all submissions up to a moment ago are known, so that an unknown job doesn't exist. */
 	[[nodiscard]] bool Fresh() const;
 
 	std::function<void()> on_running; ///< Called when the shard runs.
-	std::function<void()> on_lost;    ///< Called when a later owner has claimed the shard; may destroy this object.
+	std::function<void()> on_lost;    ///< Called when another owner has superseded this one; may destroy this object.
 
 private:
 	ShardOwnerContext context;              ///< Services of the node.
--- a/src/jobs/shard_place.cpp
+++ b/src/jobs/shard_place.cpp
@@ -7,8 +7,10 @@
 
 namespace {
 
-constexpr Millis AVOID_REFUSED(200); ///< Delay before a box that had no room is tried again.
-constexpr Millis AVOID_BUSY(1000);   ///< Delay before a box that is unhealthy or unreachable is tried again.
+/** Delay before a box is tried again that refused a start for lack of room, an old run number or a lease in the past.
+ */
+constexpr Millis AVOID_REFUSED(200);
+constexpr Millis AVOID_BUSY(1000); ///< Delay before a box that is unhealthy or unreachable is tried again.
 /** A start without an answer is retried after its age divided by this: 0.09 s after the first attempt. */
 constexpr int64_t START_RETRY_DIVISOR = 4;
 /** Maximum number of start orders under way. A node that falls behind keeps the others queued, where they don't time
@@ -120,16 +122,16 @@
 
 bool Shard::MayUseQuarantine(const PlaceRound &round, const ShardJob &job) const
 {
-	/* The quarantine box is empty while all others are full. */
-	return round.quarantine_box && std::ranges::any_of(this->crash_causes, [this, &job](const TaskId &it) {
+	/* The quarantine box may have room for a demand that fits on no other box. */
+	return round.has_quarantine && std::ranges::any_of(this->crash_causes, [this, &job](const TaskId &it) {
 			   return it.job == job.spec.id && this->QuarantineWanted(it);
 		   });
 }
 
 bool Shard::MayStartOn(const OpenBox &open, const JobId &job, StartKind kind)
 {
-	if (open.quarantine_box || kind == StartKind::SK_CRASH_CAUSE) {
-		return open.quarantine_box && kind == StartKind::SK_CRASH_CAUSE;
+	if (open.is_quarantine || kind == StartKind::SK_CRASH_CAUSE) {
+		return open.is_quarantine && kind == StartKind::SK_CRASH_CAUSE;
 	}
 	const bool spaced = !open.recent_start || open.recent_start == job;
 	return spaced && (!open.isolated_job || (kind == StartKind::SK_SUSPECT && open.isolated_job == job));
@@ -278,9 +280,9 @@
 	task.uncertain = false;
 	task.stop_wanted = task.stop_sent = task.stop_confirmed = false;
 	task.leaving = task.stop_recorded = false;
-	task.since = this->scheduler.Now();
+	task.phase_since = this->scheduler.Now();
 	box.last_start = id.job;
-	box.last_start_at = task.since;
+	box.last_start_at = task.phase_since;
 	this->AddToBox(box, job, id);
 	this->book.Add(job.spec.account, job.spec.steps[id.step].demand);
 	if (job.phase == JobPhase::JP_QUEUED) {
@@ -325,7 +327,7 @@
 	 * doesn't enforce its capacity starts whatever it is ordered to. */
 	if (!it->second.report.capacity.Holds(it->second.used) || it->second.unknown_runs) {
 		if (task->uncertain) {
-			this->RepeatStart(start.task, *task); /* It may already run there unnoticed: see below. */
+			this->RepeatStart(start.task, *task); /* It may already run there unnoticed: see RepeatStart(). */
 		} else {
 			this->GiveUpStart(start.task, *task, RunEnding::RE_STOPPED, "no_room_left");
 		}
@@ -394,9 +396,9 @@
 	if (!current) {
 		return;
 	}
-	task->settled_at = this->scheduler.Now();
+	task->state_known_at = this->scheduler.Now();
 	if (answer.outcome == OrderOutcome::OO_DONE || task->run_state == RunState::RS_RUNNING) {
-		task->run_state = RunState::RS_RUNNING; /* Confirmed now, or listed in the meantime. */
+		task->run_state = RunState::RS_RUNNING; /* Confirmed now, or listed before. */
 		this->jobs.at(id.job).begun = true;
 		if (task->suspect) {
 			this->ScheduleIsolationCheck(id, run);
@@ -424,14 +426,14 @@
 
 void Shard::RepeatStart(const TaskId &id, ShardTask &task)
 {
-	const bool keep_trying = this->scheduler.Now() - task.since < START_RETRIED_FOR;
+	const bool keep_trying = this->scheduler.Now() - task.phase_since < START_RETRIED_FOR;
 	if (!keep_trying && this->MayStop(this->jobs.at(id.job), id)) {
 		this->WantPlannedStop(id, task, "start_unanswered");
 		return;
 	}
 	/* Order the same run again. A box that has it already just confirms it, and a run that has started unnoticed is not
 	 * stopped while other tasks of its step are absent. */
-	const Millis pause((this->scheduler.Now() - task.since).Value() / START_RETRY_DIVISOR);
+	const Millis pause((this->scheduler.Now() - task.phase_since).Value() / START_RETRY_DIVISOR);
 	this->scheduler.After(pause, [this, start = PendingStart{id, task.run}, still = std::weak_ptr<bool>(this->alive)] {
 		if (!still.expired()) {
 			this->SendStart(start);
@@ -442,13 +444,13 @@
 void Shard::OnStartRefused(const TaskId &id, ShardTask &task, OrderOutcome outcome)
 {
 	this->counters.refused++;
-	const bool short_of_room = outcome == OrderOutcome::OO_NO_ROOM || outcome == OrderOutcome::OO_RUN_TOO_OLD ||
-							   outcome == OrderOutcome::OO_LEASE_PAST;
+	const bool box_healthy = outcome == OrderOutcome::OO_NO_ROOM || outcome == OrderOutcome::OO_RUN_TOO_OLD ||
+							 outcome == OrderOutcome::OO_LEASE_PAST;
 	const auto box = this->boxes.find(task.box);
 	if (outcome == OrderOutcome::OO_NO_TICKET) {
 		this->tickets.Drop(StepId{id.job, id.occurrence, id.step}, task.box);
 	} else if (box != this->boxes.end()) {
-		box->second.avoid_until = this->scheduler.Now() + (short_of_room ? AVOID_REFUSED : AVOID_BUSY);
+		box->second.avoid_until = this->scheduler.Now() + (box_healthy ? AVOID_REFUSED : AVOID_BUSY);
 	}
 	const bool invalid = outcome == OrderOutcome::OO_REJECTED;
 	this->GiveUpStart(id, task, invalid ? RunEnding::RE_FAILED : RunEnding::RE_STOPPED, "start_refused");
--- a/src/jobs/shard_rank.cpp
+++ b/src/jobs/shard_rank.cpp
@@ -11,7 +11,7 @@
 /** A job that takes more than this many times its objective is worth nothing to its caller. */
 constexpr double LATE_FACTOR = 3.0;
 constexpr Millis OUTLOOK_MAX_AGE(1000); ///< Maximum age of an outlook; learned run times change slowly.
-/** The same for jobs with occurrences at set times, which come due without an event. */
+/** Maximum age of the outlook of a job with occurrences at set times, which come due without an event. */
 constexpr Millis OUTLOOK_MAX_AGE_TIMED(100);
 
 } // namespace
@@ -105,7 +105,7 @@
 	std::ranges::for_each(
 			jobs, [&demanded](const RankedJob &it) { demanded += static_cast<double>(it.job->outlook.ready.cpu); });
 	if (demanded <= room) {
-		return; /* There is room for all of them. */
+		return; /* There is room for all ready tasks. */
 	}
 	/* Without shares, an account that floods a queue takes most of the room, and the value that other accounts get from
 	 * their jobs falls to a third. */
--- a/src/jobs/shard_records.cpp
+++ b/src/jobs/shard_records.cpp
@@ -10,14 +10,14 @@
 /** A caller's record that has waited this long for an append is returned unrecorded, so that the caller can try
  * elsewhere. A slow store takes 600 ms per append. */
 constexpr Millis WITHDRAW_AFTER(700);
-/** After the log has refused an append, callers' records are refused and nothing is placed for this time, which is that
- * of two refusals. */
+/** After the log has refused an append, callers' records are refused and nothing is placed for this time: as long as
+ * two refusals take. */
 constexpr Millis REFUSAL_PAUSE(200);
 /** Starts whose record took at least this long wait until the inbox has been read. A slow store takes 600 ms per
  * append. */
 constexpr Millis SLOW_RECORD(1000);
-/** So do starts that are recorded within this time after the log was last unreachable: that is checked twice a second,
- * and the first append afterwards takes up to 0.6 s. */
+/** Starts recorded within this time after the log was last unreachable wait until the inbox has been read: the log is
+ * checked twice a second, and the first append afterwards takes up to 0.6 s. */
 constexpr Millis LOG_RECOVERY(2000);
 /** Maximum time that starts wait for the inbox, so that an unresponsive inbox doesn't block them. */
 constexpr Millis INBOX_WAIT_MAX(600);
@@ -186,7 +186,7 @@
 	}
 	std::ranges::copy(batch.starts, std::back_inserter(this->recorded_starts));
 	const Millis now = this->scheduler.Now();
-	/* This includes tasks placed only after the log was reachable again, since an unanswered append also delays
+	/* Also holds starts of tasks placed only after the log was reachable again, since an unanswered append also delays
 	 * placing. */
 	const bool was_unreachable = now - this->log_unreachable_at < LOG_RECOVERY;
 	if (was_unreachable || now - batch.made_at >= SLOW_RECORD) {
@@ -258,13 +258,13 @@
 void Shard::Forget(const JobId &id)
 {
 	const ShardJob &job = this->jobs.at(id);
-	for (size_t place = 0; place < job.tasks.size(); place++) {
-		const auto box = this->boxes.find(job.tasks[place].box);
+	for (size_t position = 0; position < job.tasks.size(); position++) {
+		const auto box = this->boxes.find(job.tasks[position].box);
 		if (box != this->boxes.end()) {
-			this->RemoveFromBox(box->second, job, job.TaskAt(place));
+			this->RemoveFromBox(box->second, job, job.TaskAt(position));
 		}
-		if (job.tasks[place].phase == TaskPhase::TP_PLACED) {
-			this->book.Remove(job.spec.account, job.spec.steps[job.TaskAt(place).step].demand);
+		if (job.tasks[position].phase == TaskPhase::TP_PLACED) {
+			this->book.Remove(job.spec.account, job.spec.steps[job.TaskAt(position).step].demand);
 		}
 	}
 	this->tickets.Forget(id);
--- a/src/jobs/shard_runs.cpp
+++ b/src/jobs/shard_runs.cpp
@@ -9,7 +9,7 @@
 
 constexpr double RUN_TIME_WEIGHT = 0.05; ///< Weight of the newest run in the learned run time; about 20 runs count.
 constexpr Millis STOP_RETRY_AFTER(400);  ///< Delay before a stop that was refused or not sent is retried.
-/** The same for a stop without an answer, which has already waited for its timeout. */
+/** Delay before a stop without an answer is retried; short, since the order has already waited for its timeout. */
 constexpr Millis STOP_RETRY_UNANSWERED(20);
 
 } // namespace
@@ -27,9 +27,9 @@
 	task.phase = TaskPhase::TP_WAITING;
 	task.stop_wanted = task.stop_sent = task.stop_confirmed = false;
 	task.leaving = task.stop_recorded = false;
-	task.at_work = false;
+	task.at_full_pace = false;
 	task.pace = FULL_PACE;
-	task.since = this->scheduler.Now();
+	task.phase_since = this->scheduler.Now();
 	this->MarkDirty(id.job);
 }
 
@@ -38,7 +38,7 @@
 	ShardJob &job = this->jobs.at(id.job);
 	ShardTask &task = job.tasks[job.IndexOf(id)];
 	const StepSpec &step = job.spec.steps[id.step];
-	const Millis ran = this->scheduler.Now() - task.since;
+	const Millis ran = this->scheduler.Now() - task.phase_since;
 	this->log.Write("run_ended", {{"job", id.job.Value()},
 								  {"task", std::to_string(job.IndexOf(id))},
 								  {"run", std::to_string(task.run.Value())},
@@ -131,7 +131,7 @@
 {
 	if (task.stop_wanted) {
 		if (task.leaving && !task.stop_confirmed) {
-			this->SendStop(id); /* The job may be over by now, and then the record isn't waited for. */
+			this->SendStop(id); /* When the job is over by now, this doesn't wait for the record. */
 		}
 		return;
 	}
@@ -246,7 +246,7 @@
 	if (answer.outcome == OrderOutcome::OO_DONE) {
 		/* The end is in the next list; if it isn't, the run never started. */
 		task->stop_confirmed = true;
-		task->settled_at = this->scheduler.Now();
+		task->state_known_at = this->scheduler.Now();
 		if (box != this->boxes.end()) {
 			this->RenewLease(box->second);
 		}
--- a/src/jobs/shard_type.h
+++ b/src/jobs/shard_type.h
@@ -16,14 +16,16 @@
 
 /** Time limits of a shard. */
 struct ShardLimits {
-	/** Requested lease: bridges a change of owner (about 2.5 s) but soon ends runs on an unreachable box. */
+	/** Requested length of leases: a box may run its tasks for this long without a renewal. Bridges a change of owner
+	 * (about 2.5 s) but soon ends runs on an unreachable box. */
 	Millis lease = Millis(4500);
 	Millis lease_max = Millis(10000); ///< Longest lease that boxes grant (setting).
 	/** A box holds back its answer this long until a run ends; also the interval of lease renewals. */
 	Millis lease_wait = Millis(1000);
-	/** An owner renews no lease after the log has not confirmed it for this long. Together with the lease, this bridges
-	 * log outages of 9 s. A new owner must wait as long for a box that it can't reach: 9.2 s, after 2 s to claim the
-	 * shard. With 6.5 s, a lasting task was restarted only 13 s after its box and its owner had failed. */
+	/** An owner whose last confirmation by the log is older renews no lease. Runs survive a log outage of `lease` plus
+	 * `owner_term` (9 s). A new owner, which needs 2 s to claim the shard, then waits as long (9.2 s) before it
+	 * restarts the tasks of a box that it can't reach. With 6.5 s here, a lasting task is restarted only 13 s after its
+	 * box and its owner have failed. */
 	Millis owner_term = Millis(4500);
 };
 
@@ -34,17 +36,17 @@
 	uint64_t looks = 0;           ///< Lease orders sent.
 	uint64_t done = 0;            ///< Runs that ended successfully.
 	uint64_t failed = 0;          ///< Runs that failed.
-	uint64_t lapsed = 0;          ///< Runs lost with their box or lease.
+	uint64_t lapsed = 0;          ///< Runs lost because their box ended or their lease expired.
 	uint64_t refused = 0;         ///< Start orders refused by boxes.
 	uint64_t unknown = 0;         ///< Start orders without an answer.
 	uint64_t crashed = 0;         ///< Runs counted as possible causes of a box's certain crash.
 	uint64_t restarted = 0;       ///< Boxes whose agent restarted under the same id.
 	uint64_t inherited = 0;       ///< Runs that an incarnation started by an order to the previous one.
-	uint64_t given_up = 0;        ///< Jobs failed because a task of theirs crashes boxes.
-	uint64_t records_refused = 0; ///< Callers' records returned because the log refused them.
+	uint64_t given_up = 0;        ///< Jobs failed because their tasks crash boxes.
+	uint64_t records_refused = 0; ///< Callers' records that the log refused.
 	uint64_t rounds = 0;          ///< Placement rounds.
-	uint64_t boxes_walked = 0;    ///< Boxes visited one by one, in turns and when a round starts.
-	uint64_t tasks_walked = 0;    ///< Tasks on boxes visited one by one.
+	uint64_t boxes_walked = 0;    ///< Visits of single boxes, in turns and at the start of rounds.
+	uint64_t tasks_walked = 0;    ///< Visits of single tasks on boxes.
 };
 
 /** Queue lengths at an owner; they grow when the node has too little processor time. */
@@ -54,11 +56,11 @@
 	size_t callers_waiting = 0;  ///< Callers' records that wait for an append.
 };
 
-/** Numbers of boxes of a shard, for logs: compared with the machines that are up, they show what is not in use. */
+/** Numbers of boxes of a shard, for logs: fewer open boxes than machines that are up means that some are unused. */
 struct BoxCounts {
 	size_t listed = 0;  ///< Boxes that have a report.
-	size_t over = 0;    ///< Listed boxes that are considered ended.
-	size_t adopted = 0; ///< Listed boxes that have answered this owner.
+	size_t over = 0;    ///< Boxes with a report whose incarnation has ended.
+	size_t adopted = 0; ///< Boxes with a report that have answered this owner.
 	size_t open = 0;    ///< Boxes that accept tasks.
 };
 
@@ -81,26 +83,28 @@
 	bool stop_recorded = false;  ///< `leaving` is recorded: the stop order may be sent.
 	bool stop_sent = false;      ///< A stop order is under way.
 	bool stop_confirmed = false; ///< The box has confirmed the stop: the run can't start any more.
-	Millis settled_at;           ///< When the newest order for the run was answered.
-	Millis since;                ///< When it was placed or started to wait.
-	bool at_work = false;        ///< The box lists the run at full pace.
-	int64_t pace = FULL_PACE;    ///< Pace last ordered, in percent.
-	Millis ordered_at;           ///< When the first start order for the run was sent.
-	/** Suspected of crashing boxes: a box crashed just after it had started the task. Not stored: a new owner derives
-	 * it from `crashes`. */
+	/** When the state of the run was last learned: when an order for it was answered or timed out, or when the list
+	 * that first showed it running was requested. A list requested earlier says nothing about that state. */
+	Millis state_known_at;
+	Millis phase_since;        ///< When it was placed or started to wait.
+	bool at_full_pace = false; ///< The box lists the run at full pace.
+	int64_t pace = FULL_PACE;  ///< Pace last ordered, in percent.
+	Millis ordered_at;         ///< When the first start order for the run was sent.
+	/** Suspected of crashing boxes: a box crashed just after it had started the task or before it had confirmed the
+	 * start. Not stored: a new owner derives it from `crashes` and `crashes_possible`. */
 	bool suspect = false;
-	/** Isolated crash cause: a box crashed when the task's job was the only one that had just started there. Not stored
-	 * either. */
+	/** Sole crash cause: a box crashed when it had just started the task and no other job's task. Not stored, so a new
+	 * owner takes it only for a suspect. */
 	bool crash_cause = false;
-	uint64_t listed_by = 0; ///< Number of the newest answered lease order whose list had the current run.
+	uint64_t last_listing = 0; ///< Number (see Shard::newest_listing) of the last list that has the current run.
 };
 
 /** Figures derived from the state of a job's tasks. */
 struct JobOutlook {
-	bool stale = true;    ///< The job's tasks or route have changed since.
+	bool stale = true;    ///< The job's tasks or route have changed since it was computed.
 	Millis made_at;       ///< When it was computed: occurrences come due and learned run times change without an event.
 	double chain_all = 0; ///< Run time of the longest chain of steps, in ms.
-	double chain_left = 0;   ///< The same for steps that have unfinished tasks.
+	double chain_left = 0;   ///< Run time of the longest chain, counting only steps with unfinished tasks, in ms.
 	double waiting_work = 0; ///< Work of waiting tasks, in thousandths of a core times ms.
 	Resources ready;         ///< Total demand of ready tasks.
 	bool lasting = false;    ///< Whether the job has lasting tasks.
@@ -114,15 +118,14 @@
 	std::vector<ShardTask> tasks;                 ///< By occurrence, step, index.
 	uint64_t revision = 0;                        ///< Revision of the newest record.
 	bool recorded = false; ///< Whether the log has the submission; otherwise it may still be refused.
-	/** Whether a box is known to have started a run. A job whose tasks are placed still counts as waiting while their
-	 * start orders are queued: otherwise an owner short of processor time reported only 2 of 24 jobs that had waited
-	 * for 5 s. */
+	/** Whether a box is known to have started a run. Jobs whose start orders are still queued count as waiting;
+	 * otherwise an owner short of processor time reports only 2 of 24 jobs that have waited for 5 s. */
 	bool begun = false;
 	JobOutlook outlook;                 ///< Figures derived from the tasks.
 	std::vector<uint32_t> step_offsets; ///< Index of the first task of each step within an occurrence.
 	uint32_t per_occurrence = 0;        ///< Tasks per occurrence.
 	Millis taken_at;                    ///< When this owner learned of the job.
-	JobRoute route;                     ///< Its route, as last configured.
+	JobRoute route;                     ///< Configuration of its route; the last one once the route was removed.
 
 	/** @return Whether the job has completed, failed or been cancelled. */
 	[[nodiscard]] bool Over() const { return this->phase > JobPhase::JP_RUNNING; }
@@ -134,7 +137,7 @@
 	/** @return Whether the job has this task. */
 	[[nodiscard]] bool Has(const TaskId &task) const;
 	/** @return Id of the task at an index in `tasks`. */
-	[[nodiscard]] TaskId TaskAt(size_t place) const;
+	[[nodiscard]] TaskId TaskAt(size_t position) const;
 };
 
 /** Jobs by id. References to a job stay valid until it is erased. */
@@ -142,41 +145,43 @@
 
 /** One incarnation of a box of the service. */
 struct ShardBox {
-	BoxReport report;     ///< Newest report of its agent.
-	FenceToken fence;     ///< Token of orders to this incarnation: see Shard::NextFence().
-	bool listed = true;   ///< Whether its report exists.
-	bool adopted = false; ///< It has answered this owner, so orders of earlier owners are refused from then on.
+	BoxReport report;       ///< Newest report of its agent.
+	FenceToken fence;       ///< Token of orders to this incarnation: see Shard::NextFence().
+	bool has_report = true; ///< Whether a report of it exists at present.
+	bool adopted = false;   ///< It has listed its runs for this owner, so it refuses orders of earlier owners.
 	bool lease_order_under_way = false;   ///< A lease order is under way.
 	bool unreachable = false;             ///< It can't be reached, or two orders in a row got no answer.
-	uint32_t unanswered = 0;              ///< Orders without an answer since the last answer.
-	Millis unanswered_at{-1000000};       ///< When the last order without an answer timed out.
-	Millis unanswered_again_at{-1000000}; ///< When an order last timed out soon after another one.
-	bool over = false; ///< This incarnation has certainly ended; runs that its successor may still start are held.
-	bool has_successor = false;   ///< Its agent is known to have restarted under the same id.
+	uint32_t unanswered = 0;              ///< Orders in a row that got no answer.
+	Millis unanswered_at{-1000000};       ///< When an order last timed out; initially long ago, as if never.
+	Millis unanswered_again_at{-1000000}; ///< When an order last timed out within 5 s of another one.
+	/** This incarnation has certainly ended. Runs that its successor may still start stay placed here: see `held_ids`
+	 * of the shard. */
+	bool over = false;
+	bool has_successor = false;   ///< A later incarnation is known to have its id.
 	bool has_predecessor = false; ///< An earlier incarnation had its id, so it may have received orders to that one.
 	std::optional<Millis> clock;  ///< Its clock at `clock_at`.
 	Millis clock_at;              ///< When `clock` was reported.
-	Millis lease_expired_at;      ///< Time by the owner's clock at which every lease on the box has expired.
+	Millis leases_expire_at;      ///< Owner's time at which all leases on the box will have expired.
 	Millis lease_ordered_at;      ///< When the last lease order was sent.
-	Millis wait;                  ///< How long its answer to the lease order may be held back.
+	Millis answer_wait;           ///< How long it may hold back its answer to the last lease order.
 	Millis answered_at;           ///< When the last answer to any order arrived.
-	Millis listed_at;             ///< When it last listed its runs.
+	Millis runs_listed_at;        ///< When it last listed its runs.
 	Millis avoid_until;           ///< No task is placed there before this time.
 	/** An order got no answer since the box last listed its runs: its agent may have restarted. */
 	bool may_have_restarted = false;
 	uint64_t ends_seen = 0;         ///< Ends up to this number have been processed.
 	uint64_t ends_durable = 0;      ///< Ends up to this number are recorded.
 	uint64_t ends_acknowledged = 0; ///< Ends up to this number were acknowledged to the box.
-	Millis planned_until;           ///< Until then its end may be due to a late order of our own.
-	Millis drain_until;             ///< Until then it is drained for planned maintenance.
-	Millis drain_since;             ///< When the drain started.
-	bool due = false;               ///< It will be drained soon.
+	Millis planned_end_until;       ///< An end before this time may be due to a delayed move order, not a crash.
+	Millis drain_until;             ///< It is drained for planned maintenance before this time.
+	Millis drain_since;             ///< When the last drain started.
+	bool due = false;               ///< Whether it will be drained soon.
 	bool unknown_runs = false;      ///< It lists runs that this shard has not placed there.
 	Resources used;                 ///< Resources of the tasks placed there.
-	JobId last_start;               ///< Job of the task placed or started there last.
-	Millis last_start_at{-1000000}; ///< When that was.
+	JobId last_start;               ///< Job of the task placed there or ordered to start there last.
+	Millis last_start_at{-1000000}; ///< When `last_start` was set; initially long ago.
 	std::set<TaskId> placed;        ///< Tasks placed there.
-	/** Those of them that were suspects when they were placed. Kept apart, since checking every placed task in each
+	/** Tasks of `placed` that were suspects when they were added. Kept apart, since checking every placed task in each
 	 * round costs too much with many boxes. */
 	std::set<TaskId> suspects;
 	TimerId timer; ///< Next lease renewal.
@@ -184,13 +189,14 @@
 
 /** Context of an order that is under way to a box, as of when it was sent. */
 struct SentOrder {
-	BoxIncarnation incarnation;  ///< Incarnation that it was sent to.
-	FenceToken fence;            ///< Token of the order.
-	Millis at;                   ///< When it was sent.
-	std::optional<Millis> clock; ///< Clock of the incarnation as last reported; it never goes backwards.
+	BoxIncarnation incarnation; ///< Incarnation that it was sent to.
+	FenceToken fence;           ///< Token of the order.
+	Millis at;                  ///< When it was sent.
+	/** Clock of the incarnation as last reported; a lower one in an answer is that of a later incarnation. */
+	std::optional<Millis> clock;
 };
 
-/** Whether a job can still meet its objective, in the order in which jobs are served. */
+/** Whether a job can still meet its objective. Lower values are served first. */
 enum class JobTimeliness : uint8_t {
 	JT_LASTING = 0,  ///< It has lasting tasks, which should always run.
 	JT_ON_TIME = 1,  ///< It can still end within its objective.
@@ -198,9 +204,10 @@
 	JT_TOO_LATE = 3, ///< Its result is worth nothing any more; it runs when there is room.
 };
 
-/** Sort key of jobs. Among equals, less waiting work comes first: such jobs are worth more per resource used. */
+/** Sort key of jobs: by its members in turn, the lowest value is served first. Less waiting work comes first, since
+ * such jobs are worth more per resource used. */
 struct JobRank {
-	int64_t priority = 0;                                 ///< Priority of its route.
+	int64_t priority = 0;                                 ///< Priority of its route; lower numbers are served first.
 	JobTimeliness timeliness = JobTimeliness::JT_ON_TIME; ///< Whether it can meet its objective.
 	/** Whether its account already uses its share of the boxes while the waiting tasks don't all fit. */
 	bool beyond_share = false;
@@ -219,27 +226,27 @@
 /** How a task is started, depending on crashes of boxes that ran it. */
 enum class StartKind : uint8_t {
 	SK_PLAIN = 0,       ///< Without restrictions.
-	SK_SUSPECT = 1,     ///< Isolated: no other job's task starts beside it.
-	SK_CRASH_CAUSE = 2, ///< On the quarantine box.
+	SK_SUSPECT = 1,     ///< Isolated: only suspects of the same job start beside it.
+	SK_CRASH_CAUSE = 2, ///< Only on the quarantine box.
 };
 
 /** A box that accepts tasks in the current placement round. */
 struct OpenBox {
 	ShardBox *box = nullptr; ///< The box.
-	/** Job of which a suspect has just started there: no other job's task starts beside it. */
+	/** Job of which a suspect is isolated there: only suspects of the same job start beside it. */
 	std::optional<JobId> isolated_job;
 	/** Job of which a task has just started there, while starts are spaced: tasks of other jobs wait a moment, so that
 	 * a crash can be attributed to one job. */
 	std::optional<JobId> recent_start;
-	bool quarantine_box = false; ///< Only isolated crash causes start there; it is kept empty for them.
-	Resources free;              ///< Resources left.
-	uint32_t picked = 0;         ///< Tasks of the current gang chosen for it but not assigned yet.
+	bool is_quarantine = false; ///< Only sole crash causes start there: see Shard::ReserveQuarantineBox().
+	Resources free;             ///< Resources left.
+	uint32_t picked = 0;        ///< Tasks of the current gang for which it was chosen; not assigned yet.
 };
 
 /** State of one placement round. */
 struct PlaceRound {
 	std::vector<OpenBox> open;          ///< Boxes that accept tasks.
-	bool quarantine_box = false;        ///< Whether one of them is the quarantine box.
+	bool has_quarantine = false;        ///< Whether one of `open` is the quarantine box.
 	std::vector<Resources> unplaceable; ///< Demands that fit on no box; free resources only shrink within a round.
 
 	/** @return Whether a demand is known to fit on no box. @param demand Resources of a task. */
@@ -260,19 +267,21 @@
 /** Status of a pool. */
 struct PoolStatus {
 	std::vector<PoolBox> boxes; ///< Boxes of the pool.
-	/** Thousandths of a core demanded by ready tasks, as far as their accounts' maxima have room for them. */
+	/** Thousandths of a core demanded by ready tasks of jobs that can still be on time, as far as their accounts'
+	 * maxima have room for them. */
 	int64_t waiting_cpu = 0;
-	int64_t late_cpu = 0; ///< The same for jobs that can't be on time any more; not included in `waiting_cpu`.
+	int64_t late_cpu = 0; ///< Such demand of jobs that can't be on time any more; not included in `waiting_cpu`.
 	ShareReport shares;   ///< Use and demand of accounts under their maxima.
 };
 
 /** A submission or cancellation whose caller waits for the answer. */
 struct IncomingRecord {
-	KeyedRecord record;                   ///< Record to append, under its key in the shard's progress partition.
-	std::optional<JobSpec> spec;          ///< The job; unset for a cancellation.
-	InboxKey inbox_key;                   ///< Decoded key of the record.
-	std::function<void(ResultCode)> done; ///< Called with RC_OK once the record is durable, RC_LOG_UNAVAILABLE when it
-										  ///< never will be, RC_OUTCOME_UNKNOWN when an earlier equal one may be.
+	KeyedRecord record;          ///< Record to append, under its key in the shard's progress partition.
+	std::optional<JobSpec> spec; ///< The job; unset for a cancellation.
+	InboxKey inbox_key;          ///< Decoded key of the record.
+	/** Called with RC_OK once the record is durable, RC_LOG_UNAVAILABLE when it never will be, RC_OUTCOME_UNKNOWN when
+	 * an earlier equal one may be, RC_OTHER_ACCOUNT when another account has submitted the job. */
+	std::function<void(ResultCode)> done;
 };
 
 /** Status of a job, as reported to callers. */
--- a/src/jobs/site_feed.h
+++ b/src/jobs/site_feed.h
@@ -33,14 +33,14 @@
 	virtual void WatchBoxes(bool wanted) = 0;
 	/** @return When the last answered request for the configuration was sent. */
 	[[nodiscard]] virtual Millis CurrentAsOf() const = 0;
-	/** @return When the last answer to such a request arrived. */
+	/** @return When the last answer to a request for the configuration arrived. */
 	[[nodiscard]] virtual Millis LastAnswerAt() const = 0;
 	/** Makes sure that the newest configuration has been reported. @param done Called with whether everything published
 	 * up to this call is known; may never be called when the store can't be reached. */
 	virtual void Confirm(std::function<void(bool)> done) = 0;
 	/** @return Version of the configuration reported last; 0 before the first. */
 	[[nodiscard]] virtual uint64_t ConfigVersion() const = 0;
-	/** @return That configuration as published; another node passes it to its TakeConfig(). */
+	/** @return The configuration reported last, as published; another node passes it to its TakeConfig(). */
 	[[nodiscard]] virtual const std::string &ConfigBody() const = 0;
 	/** Accepts a configuration read by another node; reported if it is valid and newer. @param body The configuration
 	 * as published. */
