--- a/scripts/tour.sh
+++ b/scripts/tour.sh
@@ -3,7 +3,7 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 base=${PORT_BASE:-7100}
-bin=build/bin
+bin=${GLADE_BIN:-build/bin}
 dir=$(mktemp -d)
 pids=()
 stop_all() {
