--- a/src/entry/entry_server.cpp
+++ b/src/entry/entry_server.cpp
@@ -68,12 +68,12 @@
 		  path(MakeIdentity(settings, this->scheduler.WallNow()), MakeGateSettings(settings),
 			   LeaseTimes{settings.Duration("settle")}, MakeKeyLimits(settings), MakeRequestSettings(settings),
 			   this->credentials),
-		  callers([this](qintptr descriptor) { this->AssignConnection(descriptor, false); }),
-		  peers([this](qintptr descriptor) { this->AssignConnection(descriptor, true); }),
+		  caller_listener([this](qintptr descriptor) { this->AssignConnection(descriptor, false); }),
+		  peer_listener([this](qintptr descriptor) { this->AssignConnection(descriptor, true); }),
 		  peer_connections(this->scheduler), broker(this->scheduler, this->path.routes, this->path.self.name,
 													this->peer_connections, settings.Duration("detach_patience")),
-		  frames([this](FrameLink &, const MessageUnion &message) { this->broker.OnMessage(message); },
-				 [](FrameLink &) {}),
+		  frame_server([this](FrameLink &, const MessageUnion &message) { this->broker.OnMessage(message); },
+					   [](FrameLink &) {}),
 		  keeper(this->scheduler, this->path, settings.Addresses("keepers"),
 				 DescribeEntry(settings, this->path.self.incarnation)),
 		  status(*this)
@@ -88,8 +88,8 @@
 
 EntryServer::~EntryServer()
 {
-	this->callers.close();
-	this->peers.close();
+	this->caller_listener.close();
+	this->peer_listener.close();
 	this->lanes.clear();
 }
 
@@ -97,9 +97,9 @@
 {
 	const NetAddress callers_address = this->settings.Address("callers");
 	const NetAddress peers_address = this->settings.Address("peers");
-	if (!this->callers.listen(callers_address.ip, callers_address.port) ||
-		!this->peers.listen(peers_address.ip, peers_address.port) ||
-		!this->frames.Listen(this->settings.Address("frames")) ||
+	if (!this->caller_listener.listen(callers_address.ip, callers_address.port) ||
+		!this->peer_listener.listen(peers_address.ip, peers_address.port) ||
+		!this->frame_server.Listen(this->settings.Address("frames")) ||
 		!this->status.Listen(this->settings.Address("status"))) {
 		return false;
 	}
@@ -131,7 +131,7 @@
 	this->keeper.AnnounceLeaving();
 	this->scheduler.After(this->settings.Duration("leave_wait"), [this, done = std::move(done)]() mutable {
 		this->path.stopping = true;
-		this->callers.close();
+		this->caller_listener.close();
 		this->stop_deadline = this->scheduler.Now() + this->settings.Duration("stop_wait");
 		this->WaitForIdle(std::move(done));
 	});
@@ -140,13 +140,13 @@
 void EntryServer::WaitForIdle(std::function<void()> done)
 {
 	std::ranges::for_each(this->lanes, [](const auto &it) { it->CloseIdle(); });
-	const int64_t under_way = this->path.counters.open;
+	const int64_t open_requests = this->path.counters.open;
 	const int connections = std::accumulate(this->lanes.begin(), this->lanes.end(), 0,
 											[](int sum, const auto &it) { return sum + it->Connections(); });
 	const bool timed_out = this->scheduler.Now() >= this->stop_deadline;
-	if ((under_way == 0 && connections == 0) || timed_out) {
-		if (under_way > 0) {
-			LogEvent(LogLevel::LL_WARNING, "stop_wait_over", {{"cut", std::to_string(under_way)}});
+	if ((open_requests == 0 && connections == 0) || timed_out) {
+		if (open_requests > 0) {
+			LogEvent(LogLevel::LL_WARNING, "stop_wait_over", {{"cut", std::to_string(open_requests)}});
 		}
 		done();
 		return;
@@ -166,6 +166,6 @@
 	dump["leaving"] = this->leaving;
 	dump["slot_messages"] = static_cast<qint64>(this->broker.Counters().messages);
 	dump["slots_borrowed"] = static_cast<qint64>(this->broker.Counters().borrowed);
-	dump["frame_bytes"] = static_cast<qint64>(this->frames.Bytes() + this->peer_connections.Bytes());
+	dump["frame_bytes"] = static_cast<qint64>(this->frame_server.Bytes() + this->peer_connections.Bytes());
 	return dump;
 }
--- a/src/entry/entry_server.h
+++ b/src/entry/entry_server.h
@@ -25,12 +25,12 @@
 	CredentialList credentials;               ///< Credentials of client accounts.
 	RequestPath path;                         ///< State shared by all requests.
 	std::vector<std::unique_ptr<Lane>> lanes; ///< Threads that serve connections.
-	size_t next_lane = 0;                     ///< Round-robin counter for new connections.
-	CallerListener callers;                   ///< Listener for callers.
-	CallerListener peers;                     ///< Listener for requests from other entries.
+	size_t next_lane = 0;                     ///< Number of connections assigned to lanes so far.
+	CallerListener caller_listener;           ///< Listener for callers.
+	CallerListener peer_listener;             ///< Listener for requests from other entries.
 	PeerConnections peer_connections;         ///< Connections to other entries of the zone.
 	SlotBroker broker;                        ///< Lends slots to other entries and borrows slots from them.
-	FrameServer frames;                       ///< Listener for slot messages from other entries of the zone.
+	FrameServer frame_server;                 ///< Listener for slot messages from other entries of the zone.
 	KeeperClient keeper;                      ///< Connection to a keeper.
 	StatusPage status;                        ///< Status page for operators and health checks of the balancer.
 	bool leaving = false;                     ///< Whether a planned stop is in progress.
--- a/src/entry/keeper_client.cpp
+++ b/src/entry/keeper_client.cpp
@@ -9,7 +9,7 @@
 
 constexpr Millis HELLO_INTERVAL(500);     ///< Interval between hellos.
 constexpr Millis KEEPER_TIMEOUT(3000);    ///< The client switches to the next keeper after this time without a message.
-constexpr size_t MAX_TRACKED_HELLOS = 16; ///< Maximum number of hellos whose send time is stored.
+constexpr size_t MAX_TRACKED_HELLOS = 16; ///< Maximum number of hellos whose send times are kept.
 
 } // namespace
 
@@ -21,11 +21,11 @@
 	this->client.on_message = [this](const MessageUnion &message) { this->OnMessage(message); };
 	this->client.on_connected = [this] {
 		this->last_message_at = this->scheduler.Now();
-		this->sent_at.clear();
+		this->hello_sent_at.clear();
 		LogEvent(LogLevel::LL_INFO, "keeper_connected", {});
 		this->SendHello();
 	};
-	this->client.on_disconnected = [this] { this->sent_at.clear(); };
+	this->client.on_disconnected = [this] { this->hello_sent_at.clear(); };
 }
 
 void KeeperClient::Start()
@@ -65,7 +65,7 @@
 	hello.address = this->description.address;
 	hello.frames = this->description.frames;
 	std::tie(hello.view_version, hello.view_hash) = this->path.routes.Version();
-	hello.number = ++this->number;
+	hello.number = ++this->last_hello;
 	hello.leaving = this->leaving;
 	for (const auto &[pool, gate] : this->path.routes.Gates()) {
 		for (const GateEndpoint &it : gate->Drained()) {
@@ -73,9 +73,9 @@
 			hello.drained_permits.push_back(it.permit.Value());
 		}
 	}
-	this->sent_at[this->number] = this->scheduler.Now();
-	while (this->sent_at.size() > MAX_TRACKED_HELLOS) {
-		this->sent_at.erase(this->sent_at.begin());
+	this->hello_sent_at[this->last_hello] = this->scheduler.Now();
+	while (this->hello_sent_at.size() > MAX_TRACKED_HELLOS) {
+		this->hello_sent_at.erase(this->hello_sent_at.begin());
 	}
 	this->client.Send(MakeMessage(std::move(hello)));
 }
@@ -105,8 +105,8 @@
 
 void KeeperClient::OnLease(const LeaseGrantT &grant)
 {
-	const auto it = this->sent_at.find(grant.hello_number);
-	if (it == this->sent_at.end() || grant.view_version != this->path.routes.Version().first) {
+	const auto it = this->hello_sent_at.find(grant.hello_number);
+	if (it == this->hello_sent_at.end() || grant.view_version != this->path.routes.Version().first) {
 		return;
 	}
 	this->path.routes.ExtendLease(it->second + Millis(grant.lease_ms));
--- a/src/entry/keeper_client.h
+++ b/src/entry/keeper_client.h
@@ -22,7 +22,7 @@
 public:
 	/**
 	 * @param scheduler Clock and timers.
-	 * @param path Receives views and leases; outlives this.
+	 * @param path Receives views and leases; outlives this object.
 	 * @param keepers Addresses of keepers, nearest first.
 	 * @param description Identity and addresses of this entry.
 	 */
@@ -42,14 +42,15 @@
 	[[nodiscard]] uint64_t Bytes() const { return this->client.Bytes(); }
 
 private:
-	Scheduler &scheduler;               ///< Clock and timers.
-	RequestPath &path;                  ///< Receives views and leases.
-	EntryDescription description;       ///< Identity and addresses of this entry.
-	FrameClient client;                 ///< The connection.
-	uint64_t number = 0;                ///< Number of the last hello.
-	std::map<uint64_t, Millis> sent_at; ///< Send time of recent hellos by number: a lease counts from the send time.
-	Millis last_message_at;             ///< Time of the keeper's last message.
-	bool leaving = false;               ///< Whether this entry is leaving.
+	Scheduler &scheduler;         ///< Clock and timers.
+	RequestPath &path;            ///< Receives views and leases.
+	EntryDescription description; ///< Identity and addresses of this entry.
+	FrameClient client;           ///< The connection.
+	uint64_t last_hello = 0;      ///< Number of the last hello.
+	std::map<uint64_t, Millis>
+			hello_sent_at;  ///< Send time of recent hellos by number: a lease counts from the send time.
+	Millis last_message_at; ///< Time of the keeper's last message.
+	bool leaving = false;   ///< Whether this entry is leaving.
 
 	void Tick();
 	void SendHello();
--- a/src/entry/lane.cpp
+++ b/src/entry/lane.cpp
@@ -33,8 +33,8 @@
 } // namespace
 
 struct LaneState {
-	LaneState(RequestPath &path, DialLimits dial)
-			: dialer(this->scheduler, dial), handler(this->scheduler, path, this->dialer)
+	LaneState(RequestPath &path, DialLimits dial_limits)
+			: dialer(this->scheduler, dial_limits), handler(this->scheduler, path, this->dialer)
 	{
 	}
 
@@ -44,14 +44,14 @@
 	std::vector<QPointer<CallerLink>> links; ///< Connections; null once deleted.
 };
 
-Lane::Lane(RequestPath &path, CallerLimits callers, CallerLimits peers, DialLimits dial)
-		: path(path), callers(callers), peers(peers), dial(dial)
+Lane::Lane(RequestPath &path, CallerLimits caller_limits, CallerLimits peer_limits, DialLimits dial_limits)
+		: path(path), caller_limits(caller_limits), peer_limits(peer_limits), dial_limits(dial_limits)
 {
-	this->peers.from_peers = true;
+	this->peer_limits.from_peers = true;
 	this->receiver.moveToThread(&this->thread);
 	this->thread.start();
 	QMetaObject::invokeMethod(
-			&this->receiver, [this] { this->state = new LaneState(this->path, this->dial); },
+			&this->receiver, [this] { this->state = new LaneState(this->path, this->dial_limits); },
 			Qt::BlockingQueuedConnection);
 }
 
@@ -78,7 +78,8 @@
 		auto &links = this->state->links;
 		std::erase_if(links, [](const QPointer<CallerLink> &it) { return it.isNull(); });
 		links.emplace_back(new CallerLink(this->state->scheduler, this->state->handler,
-										  from_peer ? this->peers : this->callers, this->open_connections, descriptor));
+										  from_peer ? this->peer_limits : this->caller_limits, this->open_connections,
+										  descriptor));
 	});
 }
 
--- a/src/entry/lane.h
+++ b/src/entry/lane.h
@@ -18,12 +18,12 @@
 public:
 	/**
 	 * Starts the thread.
-	 * @param path State shared by all requests; outlives this.
-	 * @param callers Limits of connections from callers.
-	 * @param peers Limits of connections from peers.
-	 * @param dial Limits of connections to endpoints.
+	 * @param path State shared by all requests; outlives this object.
+	 * @param caller_limits Limits of connections from callers.
+	 * @param peer_limits Limits of connections from peers.
+	 * @param dial_limits Limits of connections to endpoints.
 	 */
-	Lane(RequestPath &path, CallerLimits callers, CallerLimits peers, DialLimits dial);
+	Lane(RequestPath &path, CallerLimits caller_limits, CallerLimits peer_limits, DialLimits dial_limits);
 
 	/** Closes all connections and stops the thread. */
 	~Lane();
@@ -51,13 +51,13 @@
 
 private:
 	RequestPath &path;                    ///< State shared by all requests.
-	CallerLimits callers;                 ///< Limits of connections from callers.
-	CallerLimits peers;                   ///< Limits of connections from peers.
-	DialLimits dial;                      ///< Limits of connections to endpoints.
+	CallerLimits caller_limits;           ///< Limits of connections from callers.
+	CallerLimits peer_limits;             ///< Limits of connections from peers.
+	DialLimits dial_limits;               ///< Limits of connections to endpoints.
 	std::atomic<int> open_connections{0}; ///< Number of open connections.
 	QThread thread;                       ///< The thread.
 	QObject receiver;                     ///< Lives on the thread; functions invoked on it run there.
-	LaneState *state = nullptr;           ///< State, used on the thread only.
+	LaneState *state = nullptr;           ///< State; its connections are used on the lane's thread only.
 };
 
 #endif /* LANE_H */
--- a/src/entry/peer_connections.h
+++ b/src/entry/peer_connections.h
@@ -27,7 +27,7 @@
 private:
 	/** Connection to an entry. */
 	struct Connection {
-		Incarnation incarnation;             ///< Incarnation of the entry.
+		Incarnation incarnation;             ///< Incarnation of the entry to which it was opened.
 		std::unique_ptr<FrameClient> client; ///< The connection.
 	};
 
--- a/src/net/caller_link.cpp
+++ b/src/net/caller_link.cpp
@@ -121,7 +121,7 @@
 	this->timer = TimerId();
 	CallerRequest request = this->reader.Take();
 	request.from_peer = this->limits.from_peers;
-	this->head_request = request.method == "HEAD";
+	this->omit_body = request.method == "HEAD";
 	this->busy = true;
 	this->serving = true;
 	std::shared_ptr<ServedRequest> started = this->handler.Serve(*this, std::move(request));
@@ -155,8 +155,8 @@
 void CallerLink::Begin(const ResponseHead &head)
 {
 	this->closing = this->closing || !this->reader.KeepAlive() || this->handler.Closing();
-	this->head_request = this->head_request || head.no_body;
-	if (head.length || this->head_request) {
+	this->omit_body = this->omit_body || head.no_body;
+	if (head.length || this->omit_body) {
 		this->framing = BodyFraming::BF_LENGTH;
 	} else {
 		this->framing = this->reader.AcceptsChunked() ? BodyFraming::BF_CHUNKS : BodyFraming::BF_CLOSE;
@@ -167,7 +167,7 @@
 
 void CallerLink::Body(std::string_view data)
 {
-	if (data.empty() || this->head_request) {
+	if (data.empty() || this->omit_body) {
 		return;
 	}
 	if (this->framing == BodyFraming::BF_CHUNKS) {
@@ -179,14 +179,14 @@
 
 void CallerLink::End()
 {
-	if (this->framing == BodyFraming::BF_CHUNKS && !this->head_request) {
+	if (this->framing == BodyFraming::BF_CHUNKS && !this->omit_body) {
 		this->Write(FinalChunk());
 	}
 	/* Send now instead of in the next event loop iteration. */
 	this->socket.flush();
 	this->served.reset();
 	this->busy = false;
-	this->head_request = false;
+	this->omit_body = false;
 	if (this->closing) {
 		this->socket.disconnectFromHost();
 		return;
--- a/src/net/caller_link.h
+++ b/src/net/caller_link.h
@@ -25,8 +25,8 @@
 public:
 	/**
 	 * @param scheduler Clock and timers of this thread.
-	 * @param handler Serves the requests; outlives this.
-	 * @param limits Limits; outlive this.
+	 * @param handler Serves the requests; outlives this object.
+	 * @param limits Size and time limits; outlive this object.
 	 * @param open_connections Count of open connections.
 	 * @param descriptor The accepted socket.
 	 */
@@ -46,15 +46,15 @@
 private:
 	QtScheduler &scheduler;                       ///< Clock and timers.
 	RequestHandler &handler;                      ///< Serves the requests.
-	const CallerLimits &limits;                   ///< Limits.
+	const CallerLimits &limits;                   ///< Size and time limits.
 	std::atomic<int> &open_connections;           ///< Count of open connections.
 	QTcpSocket socket;                            ///< The connection.
 	RequestReader reader;                         ///< Parses requests.
-	std::shared_ptr<ServedRequest> served;        ///< Request in progress.
-	bool busy = false;                            ///< Whether a request awaits its complete response.
-	bool serving = false;                         ///< Whether Serve() is on the stack.
+	std::shared_ptr<ServedRequest> served;        ///< Request in progress; null if it was answered within Serve().
+	bool busy = false;                            ///< Whether a request was taken whose response is not complete yet.
+	bool serving = false;                         ///< Whether the handler's Serve() is running.
 	bool closing = false;                         ///< Whether the connection closes after this response.
-	bool head_request = false;                    ///< Whether the response in progress has no body.
+	bool omit_body = false;                       ///< Whether the response in progress has no body.
 	BodyFraming framing = BodyFraming::BF_LENGTH; ///< Body framing of the response in progress.
 	TimerId timer;                                ///< Head, body or idle timeout.
 	bool timer_for_body = false;                  ///< Whether the timer runs for a body.
@@ -63,6 +63,7 @@
 	void ServeBuffered();
 	bool ServeNext();
 	void RejectRequest(ResultCode code);
+	/** Sets the timeout of the current state: a partial body, a partial head, or idle. */
 	void ArmTimer();
 	void OnTimeout();
 	void OnDisconnected();
--- a/src/net/endpoint_link.cpp
+++ b/src/net/endpoint_link.cpp
@@ -45,7 +45,7 @@
 	{
 		this->socket = reused;
 		this->ConnectSignals();
-		/* Start() must not report events: a disconnect during the write is handled later. */
+		/* QtDialer::Start() must not report events: a disconnect during the write is handled later. */
 		this->starting = true;
 		this->SendRequest();
 		this->starting = false;
@@ -58,6 +58,7 @@
 		this->socket = new QTcpSocket;
 		this->ConnectSignals();
 		this->timer = this->scheduler.After(this->dialer.Limits().connect_wait, [this] { this->Fail(); });
+		/* A call to an invalid address fails after the time limit, like one to an unreachable address. */
 		if (to) {
 			QObject::connect(this->socket, &QTcpSocket::connected, this->socket, [this] { this->SendRequest(); });
 			this->socket->connectToHost(to->ip, to->port);
@@ -93,7 +94,7 @@
 
 private:
 	QtScheduler &scheduler;       ///< Clock and timers.
-	QtDialer &dialer;             ///< Pools the connection after the call.
+	QtDialer &dialer;             ///< Takes the connection into its pool after the call.
 	std::string address;          ///< IP:port.
 	CallEvents *events;           ///< Receives the call's events; null after the call has ended or been abandoned.
 	std::string bytes;            ///< The serialized request.
@@ -101,11 +102,12 @@
 	QTcpSocket *socket = nullptr; ///< The connection.
 	bool sent = false;            ///< Whether the request was written to the socket.
 	bool paused = false;          ///< Whether reading is paused.
-	bool starting = false;        ///< Whether Start() is on the stack.
+	bool starting = false;        ///< Whether StartOnConnection() is running.
 	TimerId timer;                ///< Connection timeout.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires when this is destroyed.
+	/** Lets callbacks detect that this object was destroyed. */
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-	/** Runs a function from the event loop, unless this is destroyed first. @param run The function. */
+	/** Runs a function from the event loop, unless this object is destroyed first. @param run The function. */
 	void Defer(std::function<void()> run)
 	{
 		this->scheduler.Post([weak_alive = std::weak_ptr<bool>(this->alive), run = std::move(run)] {
--- a/src/net/endpoint_link.h
+++ b/src/net/endpoint_link.h
@@ -11,11 +11,11 @@
 #include <deque>
 #include <map>
 
-/** Limits of connections to endpoints. */
+/** Limits of outbound connections. */
 struct DialLimits {
 	Millis connect_wait = Millis(1000); ///< Time limit for establishing a connection.
-	Millis idle_wait = Millis(4000);    ///< Idle connections are not reused after this: endpoints usually wait longer.
-	size_t idle_per_endpoint = 4;       ///< Idle connections kept per endpoint and lane.
+	Millis idle_wait = Millis(4000);    ///< Maximum idle time before reuse: endpoints usually keep connections longer.
+	size_t idle_per_endpoint = 4;       ///< Maximum number of idle connections that a pool keeps per address.
 };
 
 /** Starts the calls of one lane and pools idle connections. */
@@ -23,7 +23,7 @@
 public:
 	/**
 	 * @param scheduler Clock and timers of this thread.
-	 * @param limits Limits.
+	 * @param limits Limits of the connections.
 	 */
 	QtDialer(QtScheduler &scheduler, DialLimits limits) : scheduler(scheduler), limits(limits) {}
 	~QtDialer() override;
@@ -38,7 +38,7 @@
 	 */
 	void KeepIdle(const std::string &address, QTcpSocket *socket);
 
-	/** @return Limits. */
+	/** @return Limits of the connections. */
 	[[nodiscard]] const DialLimits &Limits() const { return this->limits; }
 
 private:
@@ -49,7 +49,7 @@
 	};
 
 	QtScheduler &scheduler;                       ///< Clock and timers.
-	DialLimits limits;                            ///< Limits.
+	DialLimits limits;                            ///< Limits of the connections.
 	std::map<std::string, std::deque<Idle>> idle; ///< Idle connections by address, oldest first.
 
 	QTcpSocket *TakeIdle(const std::string &address);
--- a/src/net/epoll_dispatcher.h
+++ b/src/net/epoll_dispatcher.h
@@ -65,7 +65,7 @@
 	std::set<int> changed;                      ///< Descriptors whose event mask may differ from the registered one.
 	std::map<int, Timer> timers;                ///< Timers by id.
 	std::set<std::pair<qint64, int>> due_times; ///< Expiry times and timer ids, earliest first.
-	std::chrono::nanoseconds idle_time{0};      ///< For IdleTime().
+	std::chrono::nanoseconds idle_time{0};      ///< Total time spent blocked in epoll_wait().
 
 	void ApplyChanges();
 	void UpdateEpoll(int fd, Watch &watch, uint32_t wanted) const;
--- a/src/net/frame_link.h
+++ b/src/net/frame_link.h
@@ -37,7 +37,7 @@
 	using OnMessage = std::function<void(const MessageUnion &)>;
 
 	/**
-	 * @param socket The socket; ownership passes to this.
+	 * @param socket The socket; ownership passes to this object.
 	 */
 	explicit FrameLink(QTcpSocket *socket);
 	~FrameLink();
--- a/src/net/http_caller.cpp
+++ b/src/net/http_caller.cpp
@@ -8,7 +8,7 @@
 
 /** A timer that fires later than this shows that the process was stalled: the response may be waiting unread. */
 constexpr Millis STALL_THRESHOLD(30);
-constexpr Millis MIN_STALL_GRACE(50); ///< Minimum extra wait after a stall; a longer stall gets its own length.
+constexpr Millis MIN_STALL_GRACE(50); ///< Minimum extra wait after a stall; otherwise the wait equals the stall.
 
 } // namespace
 
@@ -38,14 +38,17 @@
 		this->End(CallResult::CR_ANSWERED);
 	}
 
-	void OnFailed(bool sent) override { this->End(sent ? CallResult::CR_UNKNOWN : CallResult::CR_NOT_SENT); }
+	void OnFailed(bool maybe_received) override
+	{
+		this->End(maybe_received ? CallResult::CR_UNKNOWN : CallResult::CR_NOT_SENT);
+	}
 
-	Done done;                                        ///< Called with the result.
-	std::list<std::unique_ptr<Pending>>::iterator at; ///< Position in the list of calls in progress.
+	Done done;                                              ///< Called with the result.
+	std::list<std::unique_ptr<Pending>>::iterator position; ///< Position in the list of calls in progress.
 
 private:
-	HttpCaller &caller;                         ///< Owns this.
-	std::unique_ptr<HttpConnection> connection; ///< The connection.
+	HttpCaller &caller;                         ///< Owns this call.
+	std::unique_ptr<HttpConnection> connection; ///< The connection; null if the address is not valid.
 	HttpReply reply;                            ///< Result of the call.
 	TimerId timer;                              ///< Time limit.
 	Millis started_at;                          ///< Start time of the call.
@@ -65,7 +68,7 @@
 	}
 
 	/* All connections to an address may stop responding at once without a reset. Those unused since this call
-	 * started are closed: otherwise each of six pooled ones would make a later call time out. */
+	 * started are closed: otherwise each of them, up to six, would make a later call time out. */
 	void FailWithTimeout()
 	{
 		this->caller.connections.CloseIdle(this->address, this->started_at);
@@ -96,14 +99,14 @@
 void HttpCaller::Call(const HttpCallSpec &spec, Done done)
 {
 	this->open.push_back(std::make_unique<Pending>(*this, std::move(done)));
-	this->open.back()->at = std::prev(this->open.end());
+	this->open.back()->position = std::prev(this->open.end());
 	this->open.back()->Start(spec);
 }
 
 void HttpCaller::Finish(Pending *it, const HttpReply &reply)
 {
 	/* Keeps the call alive until its callback has returned. */
-	const std::unique_ptr<Pending> finished = std::move(*it->at);
-	this->open.erase(it->at);
+	const std::unique_ptr<Pending> finished = std::move(*it->position);
+	this->open.erase(it->position);
 	finished->done(reply);
 }
--- a/src/net/http_caller.h
+++ b/src/net/http_caller.h
@@ -10,7 +10,7 @@
 enum class CallResult : uint8_t {
 	CR_ANSWERED = 0, ///< A complete response was received.
 	CR_NOT_SENT = 1, ///< Nothing was sent: the call was certainly not received.
-	CR_UNKNOWN = 2,  ///< Sent, but no complete response was received in time.
+	CR_UNKNOWN = 2,  ///< No complete response was received; the call may have been received.
 };
 
 /** Result of a call. */
@@ -25,7 +25,9 @@
 struct HttpCallSpec {
 	std::string address;   ///< IP:port.
 	CallerRequest request; ///< Request to send.
-	Millis timeout;        ///< Time limit for a complete response; the connection is closed when it expires.
+	/** Time limit for a complete response, extended if this process stalls; the connection is closed when it expires.
+	 */
+	Millis timeout;
 };
 
 /** Makes calls from one thread. */
--- a/src/net/http_codec.h
+++ b/src/net/http_codec.h
@@ -60,13 +60,13 @@
 private:
 	struct Parser;
 
-	HttpLimits limits;                    ///< Limits.
+	HttpLimits limits;                    ///< Size limits of requests.
 	std::string buf;                      ///< Bytes not parsed yet.
 	std::unique_ptr<Parser> parser;       ///< Beast's parser of the current request.
 	ResultCode error = ResultCode::RC_OK; ///< Reason of PR_BAD.
 	bool keep_alive = true;               ///< For KeepAlive().
 	bool accepts_chunked = true;          ///< For AcceptsChunked().
-	bool started = false;                 ///< Whether the parser has consumed bytes.
+	bool started = false;                 ///< Whether the parser has consumed bytes of the current request.
 	bool continue_sent = false;           ///< Whether PR_CONTINUE was returned.
 
 	void Reset();
@@ -93,7 +93,7 @@
 	/**
 	 * Parses received bytes.
 	 * @param data The bytes.
-	 * @param handler Receives the parts.
+	 * @param parts Receives the parts.
 	 * @return False if the bytes are not a valid response.
 	 */
 	bool Read(std::string_view data, ResponseHandler &parts);
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -1,4 +1,4 @@
-/** @file http_connection.cpp Persistent connections for complete HTTP calls. */
+/** @file http_connection.cpp Persistent connections for HTTP calls, whose bodies are passed on as a whole. */
 #include "http_connection.h"
 
 #include <QtEndian>
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr size_t READ_BUFFER_BYTES = 65536; ///< Bytes read per iteration of the event loop.
-constexpr Millis SWEEP_INTERVAL(2000);      ///< Interval between checks for connections that have been idle too long.
+constexpr size_t READ_BUFFER_BYTES = 65536;   ///< Bytes read per iteration of the event loop.
+constexpr Millis EXPIRY_CHECK_INTERVAL(2000); ///< Interval between checks for connections that have been idle too long.
 
 /** @return Socket address of an IPv4 address and port. @param to The address and port. */
 sockaddr_in SocketAddress(const NetAddress &to)
@@ -33,8 +33,8 @@
 HttpConnection::HttpConnection(QtScheduler &scheduler, const NetAddress &to, Millis connect_wait) : scheduler(scheduler)
 {
 	this->Connect(to);
-	this->timer = this->scheduler.After(connect_wait, [this] {
-		this->timer = TimerId();
+	this->connect_timer = this->scheduler.After(connect_wait, [this] {
+		this->connect_timer = TimerId();
 		this->Fail();
 	});
 }
@@ -75,7 +75,7 @@
 	this->unsent = std::move(bytes);
 	this->status = 0;
 	this->body.clear();
-	this->sent = false;
+	this->send_started = false;
 	if (this->connected) {
 		this->Send();
 	} else if (this->descriptor < 0) {
@@ -94,7 +94,7 @@
 			return;
 		}
 		this->connected = true;
-		this->scheduler.Cancel(std::exchange(this->timer, TimerId()));
+		this->scheduler.Cancel(std::exchange(this->connect_timer, TimerId()));
 		this->readable->setEnabled(true);
 	}
 	this->Send();
@@ -102,7 +102,7 @@
 
 void HttpConnection::Send()
 {
-	this->sent = this->sent || !this->unsent.empty();
+	this->send_started = this->send_started || !this->unsent.empty();
 	while (!this->unsent.empty()) {
 		const ssize_t n = ::send(this->descriptor, this->unsent.data(), this->unsent.size(), MSG_NOSIGNAL);
 		if (n < 0 && errno == EINTR) {
@@ -164,7 +164,7 @@
 {
 	this->Close();
 	if (HttpConnectionEvents *receiver = std::exchange(this->events, nullptr); receiver != nullptr) {
-		receiver->OnFailed(this->sent);
+		receiver->OnFailed(this->send_started);
 	}
 }
 
@@ -186,7 +186,7 @@
 
 void HttpConnection::Close()
 {
-	this->scheduler.Cancel(std::exchange(this->timer, TimerId()));
+	this->scheduler.Cancel(std::exchange(this->connect_timer, TimerId()));
 	/* Deleted later, as a notifier's own signal may be on the stack; disabled now, before the descriptor's number can
 	 * be reused. */
 	for (std::unique_ptr<QSocketNotifier> *it : {&this->readable, &this->writable}) {
@@ -202,17 +202,17 @@
 
 HttpConnectionPool::HttpConnectionPool(QtScheduler &scheduler, DialLimits limits) : scheduler(scheduler), limits(limits)
 {
-	this->timer = this->scheduler.After(SWEEP_INTERVAL, [this] { this->Sweep(); });
+	this->expiry_timer = this->scheduler.After(EXPIRY_CHECK_INTERVAL, [this] { this->RemoveExpired(); });
 }
 
 HttpConnectionPool::~HttpConnectionPool()
 {
-	this->scheduler.Cancel(this->timer);
+	this->scheduler.Cancel(this->expiry_timer);
 }
 
 bool HttpConnectionPool::Reusable(const HttpConnection &connection) const
 {
-	return connection.Idle() && connection.IdleSince() + this->limits.idle_wait > this->scheduler.Now();
+	return connection.IsIdle() && connection.IdleSince() + this->limits.idle_wait > this->scheduler.Now();
 }
 
 std::unique_ptr<HttpConnection> HttpConnectionPool::Acquire(const std::string &address)
@@ -233,7 +233,7 @@
 
 void HttpConnectionPool::Release(const std::string &address, std::unique_ptr<HttpConnection> connection)
 {
-	if (!connection->Idle()) {
+	if (!connection->IsIdle()) {
 		return;
 	}
 	auto &list = this->by_address[address];
@@ -250,11 +250,11 @@
 	}
 }
 
-void HttpConnectionPool::Sweep()
+void HttpConnectionPool::RemoveExpired()
 {
 	for (auto &list : this->by_address | std::views::values) {
 		std::erase_if(list, [this](const auto &connection) { return !this->Reusable(*connection); });
 	}
 	std::erase_if(this->by_address, [](const auto &it) { return it.second.empty(); });
-	this->timer = this->scheduler.After(SWEEP_INTERVAL, [this] { this->Sweep(); });
+	this->expiry_timer = this->scheduler.After(EXPIRY_CHECK_INTERVAL, [this] { this->RemoveExpired(); });
 }
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -1,4 +1,5 @@
-/** @file http_connection.h Persistent connections for complete HTTP calls, directly on non-blocking sockets. */
+/** @file http_connection.h Persistent connections for HTTP calls, whose bodies are passed on as a whole; directly on
+ * non-blocking sockets. */
 #ifndef HTTP_CONNECTION_H
 #define HTTP_CONNECTION_H
 
@@ -11,19 +12,21 @@
 #include <unordered_map>
 #include <vector>
 
-/** Receives the outcome of a call: exactly one function is called once, never from within HttpConnection::Call(). */
+/** Receives the outcome of a call: exactly one function is called, once, and never from within HttpConnection::Call().
+ * None is called after Abandon(). */
 class HttpConnectionEvents {
 public:
 	virtual ~HttpConnectionEvents() = default;
 	/** A complete response was received. @param status HTTP status. @param body Response body. */
 	virtual void OnAnswer(int status, std::string body) = 0;
-	/** No response will be received. @param sent Whether the other end may have received any byte of the request. */
-	virtual void OnFailed(bool sent) = 0;
+	/** No response will be received. @param maybe_received Whether the other end may have received any
+	 * byte of the request. */
+	virtual void OnFailed(bool maybe_received) = 0;
 };
 
 /**
- * A connection that carries one call at a time. Uses the socket directly: an owner makes thousands of small calls per
- * second, and the buffers, signals and state changes of QTcpSocket cost more than the calls themselves.
+ * A connection that carries one call at a time. Uses the socket directly: the owner of a shard makes thousands of small
+ * calls per second, for which the buffers, signals and state changes of QTcpSocket cost more than the calls themselves.
  */
 class HttpConnection : public ResponseHandler {
 public:
@@ -37,10 +40,10 @@
 	/** Starts a call. @param bytes The serialized request. @param events Receives the outcome; outlives the call. */
 	void Call(std::string bytes, HttpConnectionEvents &events);
 	/** @return Whether a call can be started: the connection is established and no call is in progress. */
-	[[nodiscard]] bool Idle() const { return this->descriptor >= 0 && this->connected && this->events == nullptr; }
-	/** @return Time when the last response was received. */
+	[[nodiscard]] bool IsIdle() const { return this->descriptor >= 0 && this->connected && this->events == nullptr; }
+	/** @return Time at which the last response was complete; 0 if there was none yet. */
 	[[nodiscard]] Millis IdleSince() const { return this->idle_since; }
-	/** Closes the connection without reporting an outcome. */
+	/** Closes the connection and drops the call in progress, if any, without reporting its outcome. */
 	void Abandon();
 
 	void OnHead(ResponseHead head) override { this->status = head.status; }
@@ -48,9 +51,9 @@
 
 private:
 	QtScheduler &scheduler;                    ///< Clock and timers.
-	int descriptor = -1;                       ///< The socket; -1 once closed.
+	int descriptor = -1;                       ///< The socket; -1 if it could not be opened, and once closed.
 	bool connected = false;                    ///< Whether the connection is established.
-	bool sent = false;                         ///< Whether sending the request has started.
+	bool send_started = false;                 ///< Whether sending the request has started.
 	std::unique_ptr<QSocketNotifier> readable; ///< Notifies of received data.
 	std::unique_ptr<QSocketNotifier> writable; ///< Notifies of connection establishment or send buffer space.
 	std::unique_ptr<ResponseReader> reader;    ///< Parses the response of the current call.
@@ -58,9 +61,10 @@
 	std::string unsent;                        ///< Part of the request that is not sent yet.
 	int status = 0;                            ///< HTTP status of the response.
 	std::string body;                          ///< Response body received so far.
-	Millis idle_since;                         ///< For IdleSince().
-	TimerId timer;                             ///< Connection timeout.
-	std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< Expires when this is destroyed.
+	Millis idle_since;                         ///< Time at which the last response was complete.
+	TimerId connect_timer;                     ///< Time limit for establishing the connection.
+	/** Lets callbacks detect that this object was destroyed. */
+	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
 	void Connect(const NetAddress &to);
 	void OnWritable();
@@ -69,11 +73,12 @@
 	void Send();
 	void Complete();
 	void Fail();
+	/** Closes the connection now and reports the failure from the event loop. */
 	void FailLater();
 	void Close();
 };
 
-/** Pool of idle connections. */
+/** Pool of idle connections, by address. */
 class HttpConnectionPool {
 public:
 	/** @param scheduler Clock and timers of this thread. @param limits Limits of connections. */
@@ -94,12 +99,13 @@
 
 private:
 	QtScheduler &scheduler; ///< Clock and timers.
-	DialLimits limits;      ///< Limits.
+	DialLimits limits;      ///< Time and size limits of connections and of the pool.
 	std::unordered_map<std::string, std::vector<std::unique_ptr<HttpConnection>>>
-			by_address; ///< Idle connections, least recently used first.
-	TimerId timer;      ///< Timer of the next Sweep().
+			by_address;   ///< Idle connections by address, least recently used first.
+	TimerId expiry_timer; ///< Timer of the next RemoveExpired().
 
-	void Sweep();
+	/** Closes the connections that are too old or no longer usable, at an interval. */
+	void RemoveExpired();
 	[[nodiscard]] bool Reusable(const HttpConnection &connection) const;
 };
 
--- a/src/net/monotonic_clock.h
+++ b/src/net/monotonic_clock.h
@@ -14,8 +14,8 @@
 };
 
 /**
- * @return Clock of the time since the machine's boot, including suspended time. After a suspension an owner must
- * neither act on a lease from before it nor answer callers that have disconnected since.
+ * @return Clock of the time since the machine's boot, including suspended time. That time counts because, after a
+ * suspension, an owner must neither act on a lease from before it nor answer callers that have disconnected since.
  */
 const MonotonicClock &SystemClock();
 
--- a/src/net/platform_client.cpp
+++ b/src/net/platform_client.cpp
@@ -73,13 +73,13 @@
 PlatformClient::PlatformClient(const NetAddress &platform) : base("http://" + platform.Text()) {}
 
 void PlatformClient::Call(const char *method, const std::string &path, const QByteArray &body, int timeout,
-						  std::function<void(const Reply &)> done, const QByteArray &known)
+						  std::function<void(const Reply &)> done, const QByteArray &known_etag)
 {
 	QNetworkRequest request(QUrl(QString::fromStdString(this->base + path)));
 	request.setTransferTimeout(timeout);
 	request.setHeader(QNetworkRequest::ContentTypeHeader, "application/octet-stream");
-	if (!known.isEmpty()) {
-		request.setRawHeader("If-None-Match", known);
+	if (!known_etag.isEmpty()) {
+		request.setRawHeader("If-None-Match", known_etag);
 	}
 	this->bytes += static_cast<uint64_t>(body.size());
 	QNetworkReply *reply = this->manager.sendCustomRequest(request, method, body);
--- a/src/net/platform_client.h
+++ b/src/net/platform_client.h
@@ -42,12 +42,12 @@
 
 	QNetworkAccessManager manager; ///< Qt's HTTP client.
 	std::string base;              ///< Base URL, http://IP:port.
-	QByteArray list_etag;          ///< ETag of the cached box list.
+	QByteArray list_etag;          ///< ETag of the cached box list; empty before the first.
 	std::vector<ListedBox> listed; ///< Cached box list.
 	uint64_t bytes = 0;            ///< For Bytes().
 
 	void Call(const char *method, const std::string &path, const QByteArray &body, int timeout,
-			  std::function<void(const Reply &)> done, const QByteArray &known = {});
+			  std::function<void(const Reply &)> done, const QByteArray &known_etag = {});
 };
 
 #endif /* PLATFORM_CLIENT_H */
--- a/src/net/qt_scheduler.cpp
+++ b/src/net/qt_scheduler.cpp
@@ -15,9 +15,9 @@
 
 QtScheduler::QtScheduler(const MonotonicClock &clock) : clock(clock)
 {
-	this->timer.setSingleShot(true);
-	this->timer.setTimerType(Qt::PreciseTimer);
-	QObject::connect(&this->timer, &QTimer::timeout, &this->context, [this] { this->RunDue(); });
+	this->qt_timer.setSingleShot(true);
+	this->qt_timer.setTimerType(Qt::PreciseTimer);
+	QObject::connect(&this->qt_timer, &QTimer::timeout, &this->context, [this] { this->RunDue(); });
 }
 
 Millis QtScheduler::Now() const
@@ -34,20 +34,20 @@
 {
 	const TimerId id(++this->last_id);
 	const Millis at = this->Now() + std::max(delay, Millis(0));
-	this->timers.emplace(Due{at, id}, std::move(run));
-	this->due.emplace(id, at);
+	this->timers.emplace(TimerKey{at, id}, std::move(run));
+	this->expiry_times.emplace(id, at);
 	this->Arm();
 	return id;
 }
 
 void QtScheduler::Cancel(TimerId id)
 {
-	const auto it = this->due.find(id);
-	if (it == this->due.end()) {
+	const auto it = this->expiry_times.find(id);
+	if (it == this->expiry_times.end()) {
 		return;
 	}
-	this->timers.erase(Due{it->second, id});
-	this->due.erase(it);
+	this->timers.erase(TimerKey{it->second, id});
+	this->expiry_times.erase(it);
 }
 
 void QtScheduler::Post(std::function<void()> run)
@@ -61,11 +61,11 @@
 		return;
 	}
 	const Millis first = this->timers.begin()->first.at;
-	if (this->timer.isActive() && this->armed_for <= first) {
+	if (this->qt_timer.isActive() && this->armed_for <= first) {
 		return;
 	}
 	this->armed_for = first;
-	this->timer.start(static_cast<int>(std::max<int64_t>((first - this->Now()).Value(), 0)));
+	this->qt_timer.start(static_cast<int>(std::max<int64_t>((first - this->Now()).Value(), 0)));
 }
 
 void QtScheduler::DetectPause()
@@ -88,7 +88,7 @@
 	this->DetectPause();
 	while (!this->timers.empty() && this->timers.begin()->first.at <= this->Now()) {
 		auto node = this->timers.extract(this->timers.begin());
-		this->due.erase(node.key().id);
+		this->expiry_times.erase(node.key().id);
 		node.mapped()();
 	}
 	this->Arm();
--- a/src/net/qt_scheduler.h
+++ b/src/net/qt_scheduler.h
@@ -12,7 +12,7 @@
 /** Scheduler of the thread that creates it. A single Qt timer drives all timers. */
 class QtScheduler : public Scheduler {
 public:
-	/** @param clock Time source; outlives this. */
+	/** @param clock Time source; outlives this object. */
 	explicit QtScheduler(const MonotonicClock &clock = SystemClock());
 
 	[[nodiscard]] Millis Now() const override;
@@ -32,21 +32,21 @@
 
 private:
 	/** Sort key of a timer: expiry time, then id. */
-	struct Due {
+	struct TimerKey {
 		Millis at;  ///< Expiry time.
 		TimerId id; ///< Id, in order of creation.
 
-		auto operator<=>(const Due &) const = default;
+		auto operator<=>(const TimerKey &) const = default;
 	};
 
-	const MonotonicClock &clock;                 ///< Time source.
-	QObject context;                             ///< Lives on the scheduler's thread; receives posted functions.
-	QTimer timer;                                ///< Fires at the earliest expiry.
-	uint64_t last_id = 0;                        ///< Id of the last timer created.
-	std::map<Due, std::function<void()>> timers; ///< Functions to run, earliest first.
-	std::map<TimerId, Millis> due;               ///< Expiry time by id, for Cancel().
-	Millis resumed_at{-1000000};                 ///< For ResumedAt(); initially far in the past.
-	Millis armed_for;                            ///< Time for which the Qt timer is set.
+	const MonotonicClock &clock;                      ///< Time source.
+	QObject context;                                  ///< Lives on the scheduler's thread; receives posted functions.
+	QTimer qt_timer;                                  ///< Fires at the earliest expiry.
+	uint64_t last_id = 0;                             ///< Id of the last timer created.
+	std::map<TimerKey, std::function<void()>> timers; ///< Functions to run, earliest first.
+	std::map<TimerId, Millis> expiry_times;           ///< Expiry time by id, for Cancel().
+	Millis resumed_at{-1000000};                      ///< Time of the last resumption; initially far in the past.
+	Millis armed_for;                                 ///< Time for which the Qt timer is set.
 
 	void Arm();
 	void DetectPause();
--- a/src/node/config_exchange.cpp
+++ b/src/node/config_exchange.cpp
@@ -5,11 +5,11 @@
 
 namespace {
 
-/** Time without an answer after which the store counts as unreachable. The store ends each long poll within a second,
- * even if there are no new records. */
+/** Time without an answer after which the store counts as unreachable. The store answers each long poll within a
+ * second, even if there are no new records. */
 constexpr Millis STORE_TIMEOUT(1300);
 constexpr Millis POLL_INTERVAL(200); ///< Interval of the checks, and of the polls while the store is unreachable.
-/** Nodes asked per poll; the store may refuse a third of all nodes at the same time. */
+/** Nodes asked per poll: more than one, as the store may refuse a third of all nodes at the same time. */
 constexpr size_t PEERS_PER_POLL = 2;
 constexpr size_t PEERS_PER_CONFIRMATION = 3; ///< Nodes asked per confirmation.
 constexpr size_t KNOWN_PEERS_MAX = 24;       ///< Maximum number of known peers.
--- a/src/node/config_exchange.h
+++ b/src/node/config_exchange.h
@@ -22,7 +22,8 @@
 struct PeerConfig {
 	uint64_t version = 0; ///< Configuration version of the peer.
 	std::string body;     ///< Configuration as published; empty unless it is newer than the requesting node's.
-	Millis age;           ///< Time between the peer's last complete read from the store and its answer.
+	/** Time since the peer last sent a read to the store that was answered; 0 if it has just confirmed its version. */
+	Millis age;
 };
 
 /** Transport for configuration requests to other nodes. */
@@ -97,6 +98,8 @@
 
 	[[nodiscard]] bool StoreUnreachable() const;
 	void PollPeers();
+	/** Asks the first known peer, which becomes the last. @param confirm Whether the peer must confirm its version with
+	 * the store. @param done Called with true if the peer's version is current and this node has it. */
 	void AskNextPeer(bool confirm, const std::function<void(bool)> &done);
 	void ApplyAnswer(const std::string &from, const PeerConfig &answer);
 };
--- a/src/node/config_peers.h
+++ b/src/node/config_peers.h
@@ -21,7 +21,7 @@
 		std::string address;    ///< IP:port of the node that was asked.
 		ConfigQuestion content; ///< Content of the request.
 		Done done;              ///< Called with the answer.
-		Millis expires_at;      ///< Time after which an answer is ignored.
+		Millis expires_at;      ///< Time from which an answer is ignored.
 		bool sent = false;      ///< Whether the request was sent.
 	};
 
@@ -32,6 +32,7 @@
 	uint64_t last_number = 0; ///< Number of the last request.
 
 	FrameClient &ClientFor(const std::string &address);
+	/** Drops expired requests, and the connections on which one of them was sent. */
 	void DropExpired();
 	void Send(uint64_t number, PendingRequest &request);
 	void OnAnswer(const glade::wire::ConfigAnswerT &in);
--- a/src/node/inbox_writer.cpp
+++ b/src/node/inbox_writer.cpp
@@ -9,13 +9,13 @@
 
 constexpr size_t BATCH_RECORDS_MAX = 100; ///< Records per append: about 200 KB, far below the size limit of a call.
 constexpr double SMOOTHING_WEIGHT = 0.3;  ///< Weight of the newest append in the smoothed duration.
-constexpr double TIMEOUT_FACTOR = 4;      ///< Multiple of the smoothed duration after which an append counts as lost.
-constexpr Millis TIMEOUT_MIN(700); ///< Minimum of that timeout: the store can become slow from one append to the next.
-/** Maximum of that timeout: the log refuses appends if more than 2 s of them are queued. */
+constexpr double TIMEOUT_FACTOR = 4;      ///< Append timeout as a multiple of the smoothed duration.
+constexpr Millis TIMEOUT_MIN(700); ///< Minimum append timeout: the store can become slow from one append to the next.
+/** Maximum append timeout: the log refuses appends if those in its queue take more than 2 s. */
 constexpr Millis TIMEOUT_MAX(2600);
 
 /** Consecutive appends without an answer after which the inbox counts as unreachable. A single one may have timed out
- * because the store became slow; the next append has a longer timeout. */
+ * because the store became slow; its duration lengthens the timeout of the next one. */
 constexpr uint32_t UNREACHABLE_AFTER_LOST = 2;
 /** While the inbox is unreachable, records that were never sent are refused at once. After this time the next record is
  * sent as a retry. */
@@ -70,6 +70,7 @@
 void InboxWriter::OnAnswer(ResultCode code, Millis took)
 {
 	const auto ms = static_cast<double>(took.Value());
+	/* A failed append only counts if it took longer: quick refusals must not shorten the timeout. */
 	if (code == ResultCode::RC_OK || ms > this->smoothed_duration_ms) {
 		this->smoothed_duration_ms += SMOOTHING_WEIGHT * (ms - this->smoothed_duration_ms);
 	}
--- a/src/node/inbox_writer.h
+++ b/src/node/inbox_writer.h
@@ -51,7 +51,7 @@
 	PartitionId partition;           ///< The inbox partition.
 	std::deque<QueuedRecord> queue;  ///< Records for the next append, oldest first.
 	uint64_t last_number = 0;        ///< Number of the last record.
-	Millis lost_at{-1000000};        ///< Time of the last append without an answer.
+	Millis lost_at{-1000000};        ///< Time of the last append without an answer; initially far in the past.
 	uint32_t lost_in_a_row = 0;      ///< Consecutive appends without an answer.
 	bool append_in_flight = false;   ///< Whether an append is in flight.
 	double smoothed_duration_ms = 0; ///< Smoothed duration of appends, in ms.
--- a/src/node/job_api.cpp
+++ b/src/node/job_api.cpp
@@ -5,14 +5,14 @@
 
 namespace {
 
-/** Time for an owner to report that it is recording; after that, the record goes to the inbox. This is three times what
- * a node takes that runs five times slower than usual. */
+/** Time limit for an owner to report that it is recording a submission or cancellation in the log; after that, the
+ * record goes to the inbox. A node that runs five times slower than usual takes a third of this. */
 constexpr Millis OWNER_ACK_TIMEOUT(300);
-/** Time before the caller's deadline at which a recording owner is given up and the inbox is used instead. */
+/** Time before the caller's deadline at which the inbox is used instead of an owner that is still recording. */
 constexpr Millis INBOX_TIME_RESERVE(900);
 constexpr Millis INBOX_RETRY_DELAY(40); ///< Delay before the retry of an append that the log refused.
-/** Time of refusals by the log after which the caller is refused: another node or a later retry serves it sooner. A
- * quarter of the shortest objective is 150 ms. */
+/** Time since the caller's request after which a further refusal by the log is passed on to the caller: another node or
+ * a later retry serves it sooner. A quarter of the shortest objective of a job is 150 ms. */
 constexpr Millis REFUSAL_TIMEOUT(120);
 constexpr Millis ANSWER_MARGIN(60); ///< Time that an answer takes to reach the caller.
 
@@ -98,7 +98,7 @@
 		this->Finish(pending, code);
 		return;
 	}
-	/* Any answer other than an unknown outcome means that the owner doesn't record it. */
+	/* Any other answer but an unknown outcome means that the owner has not recorded it and will not. */
 	pending->uncertain = code == ResultCode::RC_OUTCOME_UNKNOWN;
 	this->AppendToInbox(pending);
 }
@@ -114,7 +114,7 @@
 											  PartitionId{TopicOf(pending->service), INBOX_PARTITION});
 	}
 	/* Appends need no sequence numbers: only the first record of a key counts. */
-	const bool was_uncertain = std::exchange(pending->uncertain, true); /* Holds while the append is in flight. */
+	const bool was_uncertain = std::exchange(pending->uncertain, true); /* True while the append is in flight. */
 	inbox->Append(pending->record, pending->deadline - ANSWER_MARGIN, was_uncertain,
 				  [this, pending, was_uncertain, still = std::weak_ptr<bool>(this->alive)](ResultCode code) {
 					  if (!still.expired()) {
--- a/src/node/job_api.h
+++ b/src/node/job_api.h
@@ -10,7 +10,7 @@
  * confirmed. */
 class JobApi {
 public:
-	using Done = std::function<void(ResultCode)>;
+	using Done = std::function<void(ResultCode)>; ///< Called once with the result of an operation.
 
 	/**
 	 * @param scheduler Clock and timers.
@@ -35,7 +35,7 @@
 	 * @param service Service that runs the job.
 	 * @param deadline Time at which the caller stops waiting.
 	 * @param done Called with RC_OK once the job is durable; RC_LOG_THROTTLED or RC_LOG_UNAVAILABLE if it is certain
-	 * that the job was not and will not be recorded; RC_OUTCOME_UNKNOWN if it may have been; RC_OTHER_ACCOUNT if the id
+	 * that the job was not recorded and will not be; RC_OUTCOME_UNKNOWN if it may have been; RC_OTHER_ACCOUNT if the id
 	 * belongs to another account's job; RC_ACCOUNT_BUSY if the owner reports it.
 	 */
 	void Submit(const JobSpec &spec, const ServiceName &service, Millis deadline, Done done);
@@ -87,6 +87,7 @@
 	/** Lets callbacks detect that this object was destroyed. */
 	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
+	/** Starts to record a submission or cancellation: by the owner if it can be reached, otherwise in the inbox. */
 	void BeginRecording(const std::shared_ptr<Pending> &pending);
 	void SendToOwner(const std::shared_ptr<Pending> &pending);
 	void OnOwnerAnswer(const std::shared_ptr<Pending> &pending, ResultCode code);
--- a/src/node/metrics_page.cpp
+++ b/src/node/metrics_page.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Name of a shard counter. */
+/** A shard counter and its name. */
 struct CounterRow {
 	const char *name;                ///< Name in the metrics and in the dump.
 	uint64_t ShardCounters::*member; ///< The counter.
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/** Time without contact to the store after which a node accepts no new callers. Two polls of a second each may fail. */
+/** Time without contact to the store after which a node is no longer ready for new callers. Two polls of a second each
+ * may fail. */
 constexpr Millis STORE_CONTACT_TIMEOUT(2600);
 /** Interval at which the owner of the fleet is checked while the group does not assign the fleet to this node. */
 constexpr Millis FLEET_CHECK_INTERVAL(5000);
@@ -137,8 +138,8 @@
 								   self.limits, interfaces.advisor, NODE_GROUP},
 				 this->member, interfaces.feed, self.partitions),
 		  lookup(scheduler, interfaces.log, interfaces.events),
-		  api(scheduler, interfaces.log, this->shards, this->lookup, interfaces.events), peers(scheduler),
-		  configs(scheduler, interfaces.feed, this->peers, interfaces.events, self.frame_address),
+		  api(scheduler, interfaces.log, this->shards, this->lookup, interfaces.events), config_peers(scheduler),
+		  config_exchange(scheduler, interfaces.feed, this->config_peers, interfaces.events, self.frame_address),
 		  frame_server([this](FrameLink &link, const MessageUnion &message) { this->OnFrame(link, message); },
 					   [this](FrameLink &link) { this->awaiting_answer.erase(&link); })
 {
@@ -151,8 +152,8 @@
 	if (!address || !this->frame_server.Listen(*address)) {
 		return false;
 	}
-	std::ranges::for_each(this->self.seeds, [this](const std::string &it) { this->configs.AddPeer(it); });
-	this->configs.Start();
+	std::ranges::for_each(this->self.seeds, [this](const std::string &it) { this->config_exchange.AddPeer(it); });
+	this->config_exchange.Start();
 	this->interfaces.feed.Start(*this);
 	this->member.Start();
 	return true;
@@ -174,14 +175,15 @@
 
 bool NodeCore::FleetAssigned() const
 {
-	/* The last partition represents the fleet. Each service uses the first partition of its even share. */
+	/* The last partition represents the fleet. PartitionOf() gives it to no service while there are more partitions
+	 * than services. */
 	return this->member.Holds(this->self.partitions - 1);
 }
 
 bool NodeCore::FleetMonitored() const
 {
-	/* The monitoring member holds the partition before the last one, because the partition after it represents a
-	 * service. */
+	/* The member that holds the partition before the last one, unlike for services: the partition after the last one is
+	 * number 0, which represents a service. */
 	return this->member.Holds((2 * this->self.partitions - 2) % this->self.partitions);
 }
 
@@ -196,7 +198,7 @@
 													 ResultCode, const std::vector<PartitionHolder> &rows) {
 		if (!still.expired()) {
 			std::ranges::for_each(rows, [this](const PartitionHolder &it) {
-				this->configs.AddPeer(ParseMemberName(it.member).address);
+				this->config_exchange.AddPeer(ParseMemberName(it.member).address);
 			});
 		}
 	});
@@ -245,7 +247,7 @@
 void NodeCore::StartFleetOwner()
 {
 	this->fleet = std::make_unique<FleetOwner>(FleetOwnerContext{
-			this->scheduler, this->interfaces.log, this->interfaces.machines, this->interfaces.reports, *this,
+			this->scheduler, this->interfaces.log, this->interfaces.machines, this->interfaces.wave_reporter, *this,
 			this->interfaces.events, this->self.name, this->self.frame_address, this->self.turn_gap, NODE_GROUP,
 			[this] { return this->FleetAssigned(); }, [this] { return this->FleetMonitored(); }});
 	this->fleet->on_lost = [this] {
@@ -395,18 +397,18 @@
 void NodeCore::OnConfigQuestion(FrameLink &link, const glade::wire::ConfigQuestionT &in)
 {
 	this->awaiting_answer.insert(&link);
-	this->configs.Answer(ConfigQuestion{in.version, in.confirm},
-						 [this, to = &link, number = in.number](const PeerConfig &answer) {
-							 if (!this->awaiting_answer.contains(to)) {
-								 return;
-							 }
-							 glade::wire::ConfigAnswerT out;
-							 out.number = number;
-							 out.version = answer.version;
-							 out.age_ms = answer.age.Value();
-							 out.body.assign(answer.body.begin(), answer.body.end());
-							 to->Send(MakeMessage(std::move(out)));
-						 });
+	this->config_exchange.Answer(ConfigQuestion{in.version, in.confirm},
+								 [this, to = &link, number = in.number](const PeerConfig &answer) {
+									 if (!this->awaiting_answer.contains(to)) {
+										 return;
+									 }
+									 glade::wire::ConfigAnswerT out;
+									 out.number = number;
+									 out.version = answer.version;
+									 out.age_ms = answer.age.Value();
+									 out.body.assign(answer.body.begin(), answer.body.end());
+									 to->Send(MakeMessage(std::move(out)));
+								 });
 }
 
 void NodeCore::OnPoolQuestion(FrameLink &link, const glade::wire::PoolQuestionT &in)
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -28,7 +28,7 @@
 	BoxOrders &orders;                   ///< Orders to boxes.
 	SiteFeed &feed;                      ///< Configuration, maintenance waves and box reports.
 	MachineControl &machines;            ///< Control of machines.
-	WaveReporter &reports;               ///< Progress of waves, for operators.
+	WaveReporter &wave_reporter;         ///< Progress of waves, for operators.
 	EventLog &events;                    ///< Event log.
 	PlacementAdvisor *advisor = nullptr; ///< Placement policies of routes; null if there are none.
 };
@@ -70,10 +70,10 @@
 	 * @param done Called with true, possibly several times, once the store or a peer confirms it; never called if
 	 * neither answers.
 	 */
-	void ConfirmConfig(const std::function<void(bool)> &done) { this->configs.Confirm(done); }
+	void ConfirmConfig(const std::function<void(bool)> &done) { this->config_exchange.Confirm(done); }
 
 	/** @return Exchange of configurations with other nodes. */
-	[[nodiscard]] const ConfigExchange &Configs() const { return this->configs; }
+	[[nodiscard]] const ConfigExchange &Configs() const { return this->config_exchange; }
 	JobApi &Api() { return this->api; }                                         ///< Operations on jobs for callers.
 	[[nodiscard]] const ShardHost &OwnedShards() const { return this->shards; } ///< Shards owned by this node.
 	[[nodiscard]] const JobApi &Api() const { return this->api; }               ///< Operations on jobs for callers.
@@ -86,21 +86,24 @@
 	ShardHost shards;                                 ///< Shards owned by this node.
 	OwnerLookup lookup;                               ///< Requests to owners on other nodes.
 	JobApi api;                                       ///< Operations on jobs for callers.
-	FrameConfigPeers peers;                           ///< Transport for configuration requests to other nodes.
-	ConfigExchange configs;                           ///< Exchange of configurations with other nodes.
-	Millis peers_read_at{-1000000};                   ///< Time at which the members of the group were last read.
+	FrameConfigPeers config_peers;                    ///< Transport for configuration requests to other nodes.
+	ConfigExchange config_exchange;                   ///< Exchange of configurations with other nodes.
+	Millis peers_read_at{-1000000};                   ///< Time of the last read of the members; initially long ago.
 	FrameServer frame_server;                         ///< Server for requests of other nodes.
 	std::set<FrameLink *> awaiting_answer;            ///< Open connections on which an answer may still be sent.
 	bool leaving = false;                             ///< Whether Leave() was called.
 	std::map<uint64_t, WaveOrder> waves;              ///< Maintenance waves, by number.
 	std::unique_ptr<FleetOwner> fleet;                ///< Set while this node owns the fleet or waits to claim it.
-	Millis fleet_checked_at{-1000000};                ///< Time at which the owner of the fleet was last checked.
+	Millis fleet_checked_at{-1000000};                ///< Time of the last check of its owner; initially long ago.
 	std::list<std::unique_ptr<FleetOwner>> releasing; ///< Former fleet owners whose release is being recorded.
 	/** Lets callbacks detect that this object was destroyed. */
 	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
+	/** @return Whether the group has assigned the fleet to this node. */
 	[[nodiscard]] bool FleetAssigned() const;
+	/** @return Whether this node has to take the fleet over if its owner fails. */
 	[[nodiscard]] bool FleetMonitored() const;
+	/** Adapts shards and fleet to the membership; called after each answer of the group. */
 	void OnMembership();
 	void StartFleetOwner();
 	void ReleaseFleet();
@@ -109,7 +112,10 @@
 	void OnPoolQuestion(FrameLink &link, const glade::wire::PoolQuestionT &in);
 	void OnRecordQuestion(FrameLink &link, const glade::wire::RecordQuestionT &in);
 	void OnConfigQuestion(FrameLink &link, const glade::wire::ConfigQuestionT &in);
+	/** Reads the members of the group, at an interval, as peers for the exchange of configurations. */
 	void ReadPeers();
+	/** Applies a request of the fleet's owner to a shard of this node.
+	 * @return Status of the pool; nothing if this node doesn't own the shard or has not confirmed it yet. */
 	std::optional<PoolStatus> LocalPoolStatus(const ServiceName &service, const PoolRequest &request);
 };
 
--- a/src/node/owner_lookup.cpp
+++ b/src/node/owner_lookup.cpp
@@ -10,17 +10,18 @@
 
 namespace {
 
-/** Minimum answer timeout, after which the request is repeated, over a new connection if the node sent nothing at all.
- * Two hops take a few ms. */
+/** Minimum answer timeout, after which the request is repeated; over a new connection if the node has sent nothing at
+ * all since. Two hops take a few ms. */
 constexpr Millis ANSWER_TIMEOUT_MIN(250);
 constexpr Millis ANSWER_TIMEOUT_MAX(1000); ///< Maximum answer timeout, for a node that answers slowly.
 /** Answer timeout as a multiple of the duration of the node's last answer. */
 constexpr int64_t ANSWER_TIMEOUT_FACTOR = 2;
-/** A recording node that has sent nothing for this time is probed; its connection is replaced if it doesn't answer
- * within ANSWER_TIMEOUT_MIN. An append that avoids an unreachable partition completes within 0.4 s. */
+/** A node that is recording a request in the log and has sent nothing for this time is probed; its connection is
+ * replaced if it doesn't answer within the answer timeout. An append that avoids an unreachable partition completes
+ * within 0.4 s. */
 constexpr Millis RECORDING_TIMEOUT(600);
-constexpr Millis RETRY_DELAY(60);     ///< Delay before a retry when the owner is unknown or doesn't own the shard.
-constexpr Millis OWNER_AGE_MAX(3000); ///< Age from which a known owner is read again from the log while requests go on.
+constexpr Millis RETRY_DELAY(60);          ///< Delay before a retry when the owner is unknown or doesn't own the shard.
+constexpr Millis OWNER_AGE_MAX(3000);      ///< Age from which the record of a known owner is read again.
 constexpr Millis OWNER_READ_INTERVAL(100); ///< Minimum interval between two reads of the same owner's record.
 
 /**
@@ -54,10 +55,10 @@
 	request.done = std::move(done);
 	request.recording_until = recording_until;
 	this->pending.emplace(number, std::move(request));
-	this->Try(number);
+	this->Attempt(number);
 }
 
-void OwnerLookup::Try(uint64_t number)
+void OwnerLookup::Attempt(uint64_t number)
 {
 	const auto it = this->pending.find(number);
 	if (it == this->pending.end()) {
@@ -69,8 +70,8 @@
 						   {{"subject", it->second.subject},
 							{"shard", it->second.shard.topic},
 							{"asked_node", it->second.asked_node.empty() ? "none" : it->second.asked_node}});
-		const bool sent = it->second.sent || it->second.earlier_unanswered;
-		this->Finish(number, sent ? ResultCode::RC_OUTCOME_UNKNOWN : ResultCode::RC_PEER_UNAVAILABLE, nullptr);
+		const bool unanswered = it->second.unanswered || it->second.earlier_unanswered;
+		this->Finish(number, unanswered ? ResultCode::RC_OUTCOME_UNKNOWN : ResultCode::RC_PEER_UNAVAILABLE, nullptr);
 		return;
 	}
 	const KnownOwner &owner = this->owners[it->second.shard];
@@ -80,7 +81,7 @@
 	if (owner.address.empty()) {
 		this->ScheduleRetry(number);
 	} else {
-		this->Send(number);
+		this->SendToOwner(number);
 	}
 }
 
@@ -97,24 +98,24 @@
 		}
 		const bool past_deadline = this->scheduler.Now() >= entry->second.deadline;
 		if (entry->second.recording && !past_deadline) {
-			this->CheckNode(number, entry->second);
+			this->CheckRecordingNode(number, entry->second);
 			return;
 		}
-		/* A recording node is kept even if it takes long: its connection carries other requests too. */
+		/* A recording node is not abandoned at the deadline: its connection carries other requests too. */
 		if (!entry->second.recording && !entry->second.asked_node.empty()) {
-			this->AbandonNode(entry->second, entry->second.sent_at);
+			this->AbandonNode(entry->second, entry->second.attempted_at);
 		}
-		this->Try(number);
+		this->Attempt(number);
 	});
 }
 
-void OwnerLookup::CheckNode(uint64_t number, PendingRequest &request)
+void OwnerLookup::CheckRecordingNode(uint64_t number, PendingRequest &request)
 {
 	const bool heard = this->PeerOf(request.asked_node).last_heard_at >= request.wait_started_at;
 	if (!heard && request.probed) {
 		request.recording = request.probed = false;
 		this->AbandonNode(request, request.wait_started_at);
-		this->Try(number);
+		this->Attempt(number);
 		return;
 	}
 	request.wait_started_at = this->scheduler.Now();
@@ -144,7 +145,7 @@
 		peer.client.reset();
 	}
 	request.asked_node.clear();
-	request.earlier_unanswered = request.earlier_unanswered || request.sent;
+	request.earlier_unanswered = request.earlier_unanswered || request.unanswered;
 	this->RefreshOwner(request.shard);
 }
 
@@ -160,19 +161,19 @@
 	this->ReadOwner(shard, shard);
 }
 
-void OwnerLookup::ReadOwner(const PartitionId &shard, const PartitionId &from)
+void OwnerLookup::ReadOwner(const PartitionId &shard, const PartitionId &partition)
 {
-	this->log.Newest(from, KEY_BEFORE_OWNER,
-					 [this, shard, from, still = std::weak_ptr<bool>(this->alive)](const NewestPage &page) {
+	this->log.Newest(partition, KEY_BEFORE_OWNER,
+					 [this, shard, partition, still = std::weak_ptr<bool>(this->alive)](const NewestPage &page) {
 						 if (!still.expired()) {
-							 this->OnOwnerRead(shard, from, page);
+							 this->OnOwnerRead(shard, partition, page);
 						 }
 					 });
 }
 
-void OwnerLookup::OnOwnerRead(const PartitionId &shard, const PartitionId &from, const NewestPage &page)
+void OwnerLookup::OnOwnerRead(const PartitionId &shard, const PartitionId &partition, const NewestPage &page)
 {
-	if (page.code != ResultCode::RC_OK && from == shard) {
+	if (page.code != ResultCode::RC_OK && partition == shard) {
 		/* Each claim also records the owner in the spare partition. */
 		this->ReadOwner(shard, SparePartitionOf(shard));
 		return;
@@ -180,7 +181,7 @@
 	KnownOwner &owner = this->owners[shard];
 	owner.reading = false;
 	if (page.code != ResultCode::RC_OK) {
-		/* The last known owner remains the best guess. */
+		/* The last known owner stays in use, as it may still own the shard. */
 		this->events.Write("owner_read_failed", {{"shard", shard.topic}, {"code", SymbolOf(page.code)}});
 		return;
 	}
@@ -218,7 +219,7 @@
 		peer.client->on_connected = [this, address] {
 			for (auto &[number, pending] : this->pending) {
 				if (pending.asked_node == address) {
-					this->Send(number);
+					this->SendToOwner(number);
 				}
 			}
 		};
@@ -236,24 +237,24 @@
 
 void OwnerLookup::UpdateAnswerTimeout(const PendingRequest &request)
 {
-	if (request.sent && !request.asked_node.empty()) {
-		const int64_t took = (this->scheduler.Now() - request.sent_at).Value();
+	if (request.unanswered && !request.asked_node.empty()) {
+		const int64_t took = (this->scheduler.Now() - request.attempted_at).Value();
 		this->PeerOf(request.asked_node).answer_timeout =
 				std::clamp(Millis(took * ANSWER_TIMEOUT_FACTOR), ANSWER_TIMEOUT_MIN, ANSWER_TIMEOUT_MAX);
 	}
 }
 
-void OwnerLookup::Send(uint64_t number)
+void OwnerLookup::SendToOwner(uint64_t number)
 {
 	PendingRequest &it = this->pending.at(number);
 	it.asked_node = this->owners.at(it.shard).address;
 	FrameClient &client = *this->PeerOf(it.asked_node).client;
-	it.sent_at = this->scheduler.Now();
+	it.attempted_at = this->scheduler.Now();
 	if (client.IsConnected()) {
 		client.Send(it.make(number));
-		/* The previous request may still be executed, whatever the answer to this one is. */
-		it.earlier_unanswered = it.earlier_unanswered || it.sent;
-		it.sent = true;
+		/* An earlier attempt may still be executed, whatever the answer to this one is. */
+		it.earlier_unanswered = it.earlier_unanswered || it.unanswered;
+		it.unanswered = true;
 	}
 	this->ScheduleRetry(number);
 }
@@ -274,13 +275,13 @@
 	}
 	const auto it = this->pending.find(number);
 	if (it == this->pending.end()) {
-		return; /* An earlier answer to a repeated request has completed it. */
+		return; /* Answer to a probe, or a further answer to a request that was sent repeatedly. */
 	}
 	this->UpdateAnswerTimeout(it->second);
 	if (code == ResultCode::RC_LOG_RECORDING) {
 		it->second.recording = true;
 		it->second.probed = false;
-		it->second.wait_started_at = this->scheduler.Now() + Millis(1); /* Only later messages count. */
+		it->second.wait_started_at = this->scheduler.Now() + Millis(1); /* This message itself doesn't count. */
 		it->second.deadline = std::max(it->second.deadline, it->second.recording_until);
 		this->ScheduleRetry(number);
 		return;
@@ -290,7 +291,7 @@
 		this->Finish(number, unknown ? ResultCode::RC_OUTCOME_UNKNOWN : code, &message);
 		return;
 	}
-	it->second.sent = false;
+	it->second.unanswered = false;
 	it->second.asked_node.clear();
 	this->RefreshOwner(it->second.shard);
 	this->ScheduleRetry(number);
--- a/src/node/shard_host.cpp
+++ b/src/node/shard_host.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/** Minimum number of shards that a node keeps although they are assigned to others. A smaller number causes more
- * handovers; a larger one leaves more shards without an owner when the node fails. */
+/** Minimum of KeptShardsMax(): up to so many shards a node keeps although they are assigned to others. A smaller number
+ * causes more handovers; a larger one leaves more shards without an owner when the node fails. */
 constexpr size_t KEPT_SHARDS_MIN = 2;
-/** Last reports kept of former incarnations of agents: those of a minute in which all boxes move. */
+/** Maximum number of last reports kept of former incarnations of agents: those of a minute in which all boxes move. */
 constexpr size_t LAST_REPORTS_KEPT = 300;
 /** Interval at which the owners of shards that are not assigned to this node are checked. An earlier process of this
  * node may be the recorded owner, and other nodes wait as long as the record names a live node. */
--- a/src/node/shard_host.h
+++ b/src/node/shard_host.h
@@ -87,14 +87,18 @@
 	std::deque<BoxReport> last_reports;
 	/** Shards that are owned, being claimed or waited for, by service. */
 	std::map<ServiceName, std::unique_ptr<ShardOwner>> owners;
-	Millis owners_checked_at{-1000000};                 ///< Time at which the owners of all services were last checked.
-	std::vector<std::unique_ptr<ShardOwner>> releasing; ///< Shards being released.
+	Millis owners_checked_at{-1000000};                 ///< Time of the last check of all owners; initially long ago.
+	std::vector<std::unique_ptr<ShardOwner>> releasing; ///< Former shard owners whose release is being recorded.
 	bool stopped = false;                               ///< Whether Clear() was called.
 
 	void KeepLastReport(const BoxReport &report);
+	/** @return Whether the group has assigned the service's shard to this node. @param service The service. */
 	[[nodiscard]] bool Assigned(const ServiceName &service) const;
+	/** @return Whether this node has to take the shard over if its owner fails. @param service The service. */
 	[[nodiscard]] bool Monitored(const ServiceName &service) const;
+	/** @return Number of shards that this node has claimed, including those that are still being loaded. */
 	[[nodiscard]] size_t Claimed() const;
+	/** @return Number of shards that this node may own before it hands over those assigned to others. */
 	[[nodiscard]] size_t KeptShardsMax() const;
 	void StartOwner(const ServiceName &service);
 	void Release(const ServiceName &service);
