--- a/src/cli/keeper_call.cpp
+++ b/src/cli/keeper_call.cpp
@@ -14,7 +14,7 @@
 	std::unique_ptr<MessageUnion> response;
 	bool sent = false;
 	client.on_connected = [&] {
-		/* The query is sent once only: a repeated publication could be applied twice. */
+		/* Not sent again after a reconnect: a repeated publication could be applied twice. */
 		if (!sent) {
 			sent = true;
 			client.Send(query);
--- a/src/error_type.h
+++ b/src/error_type.h
@@ -113,7 +113,7 @@
 /** A result code with details of the failure. */
 struct Result {
 	ResultCode code = ResultCode::RC_OK; ///< Result code.
-	std::string detail;                  ///< Affected cell, box or job, and the expected value; empty on success.
+	std::string detail;                  ///< Affected cell, box or job, or the expected value; may be empty.
 
 	/** @return Whether the operation succeeded. */
 	[[nodiscard]] bool Ok() const { return this->code == ResultCode::RC_OK; }
--- a/src/keeper/entry_handler.cpp
+++ b/src/keeper/entry_handler.cpp
@@ -39,11 +39,12 @@
 		}
 		return;
 	}
-	if (!member || this->HasWitnessedAgainst(session.name)) {
+	if (!member || this->HasReportedSilent(session.name)) {
 		this->ProposeJoin(hello);
 		return;
 	}
-	/* Only members get a view: one built without the entry's join could show a box as open that is being drained. */
+	/* Only members get a view. A drain doesn't wait for other entries, so a view built without the entry's join could
+	 * show a box as open that is being drained. */
 	if (hello.view_version != this->version || hello.view_hash != this->view.hash) {
 		if (hello.view_version != session.sent.version) {
 			session.sent = ViewT();
@@ -53,9 +54,9 @@
 	this->GrantLease(channel, hello);
 }
 
-bool EntryHandler::HasWitnessedAgainst(const MemberName &name) const
+bool EntryHandler::HasReportedSilent(const MemberName &name) const
 {
-	/* This keeper has proposed that the member leaves, decided or not: no lease until it has joined again. */
+	/* A member that this keeper has reported, decided or not, gets no lease until it has joined again. */
 	const auto it = this->core.State().members.find(name);
 	return this->pending_leaves.contains(name) ||
 		   (it != this->core.State().members.end() && it->second.witnesses.contains(this->core.self.name.Value()));
@@ -113,7 +114,7 @@
 	this->core.writer.Submit(MakeProposal(std::move(leave)), WritePriority::WP_CONFIG,
 							 [this, name = member.name](const Decision &) {
 								 this->heard[name].proposal_pending = false;
-								 this->pending_leaves.erase(name); /* The decision is in the state now. */
+								 this->pending_leaves.erase(name); /* From now on the witnesses in the state show it. */
 							 });
 }
 
--- a/src/keeper/entry_handler.h
+++ b/src/keeper/entry_handler.h
@@ -20,14 +20,15 @@
 	virtual void Send(const glade::wire::MessageUnion &message) = 0;
 };
 
-/** Last known status of another keeper of the zone. */
+/** Status of another keeper, as of its last heartbeat. */
 struct PeerKeeperStatus {
 	Millis heard;     ///< When its last heartbeat arrived.
 	LogOffset offset; ///< Offset up to which it has read the log.
-	Millis log_age;   ///< Time since the log last answered it, as of the heartbeat.
+	Millis log_age;   ///< Time since the log last answered that keeper, at the heartbeat.
 };
 
-/** Serves the entries of the keeper's zone. */
+/** Serves the entries of the keeper's zone. An entry is a process that accepts callers' requests and routes them by the
+ * view that a keeper sends it. */
 class EntryHandler {
 public:
 	explicit EntryHandler(KeeperCore &core) : core(core), started(core.scheduler.Now()) {}
@@ -46,7 +47,7 @@
 	void OnDown(EntryChannel &channel);
 
 	/**
-	 * Handles a heartbeat of another keeper of the zone.
+	 * Handles a heartbeat of another keeper, of any zone.
 	 * @param beat The message.
 	 */
 	void OnKeeperBeat(const glade::wire::KeeperBeatT &beat);
@@ -54,7 +55,7 @@
 	/** Rebuilds the view and, when it changed, sends it to the entries. Called after log records and list updates. */
 	void Refresh();
 
-	/** Proposes that unresponsive entries and keepers of the zone leave. Called about once a second. */
+	/** Proposes, as a witness, that unresponsive entries and keepers of the zone leave. Called about once a second. */
 	void ReportSilentMembers();
 
 	/**
@@ -84,7 +85,7 @@
 		std::map<BoxName, PermitId> drained; ///< Boxes that it confirmed as drained, with their permits.
 	};
 
-	/** When a member was last heard, on any connection or through another keeper. */
+	/** When a member last sent a message to this keeper or to another one that reported it. */
 	struct LastContact {
 		Incarnation incarnation;       ///< Incarnation of the member.
 		Millis at;                     ///< Time of the last message.
@@ -94,9 +95,9 @@
 	KeeperCore &core;                               ///< Shared state of the keeper.
 	Millis started;                                 ///< When this keeper started.
 	std::map<EntryChannel *, Session> sessions;     ///< Sessions by connection.
-	std::map<MemberName, LastContact> heard;        ///< Last contact by member of the zone.
-	std::map<MemberName, PeerKeeperStatus> keepers; ///< Status of the other keepers of the zone.
-	std::set<MemberName> pending_leaves;            ///< Members that this keeper proposed to remove; not decided yet.
+	std::map<MemberName, LastContact> heard;        ///< Last contact by member.
+	std::map<MemberName, PeerKeeperStatus> keepers; ///< Status of the other keepers.
+	std::set<MemberName> pending_leaves;            ///< Unresponsive members whose proposed leave is undecided.
 	glade::wire::ViewT view;                        ///< Current view.
 	uint64_t version = 0;                           ///< Version of the current view.
 
@@ -104,7 +105,7 @@
 	void ProposeLeave(const Member &member, const MemberName &witness);
 	void GrantLease(EntryChannel &channel, const glade::wire::EntryHelloT &hello);
 	void SendView(EntryChannel &channel, Session &session);
-	[[nodiscard]] bool HasWitnessedAgainst(const MemberName &name) const;
+	[[nodiscard]] bool HasReportedSilent(const MemberName &name) const;
 	[[nodiscard]] bool IsMember(const MemberName &name, Incarnation incarnation) const;
 };
 
--- a/src/keeper/keeper_core.h
+++ b/src/keeper/keeper_core.h
@@ -8,14 +8,14 @@
 
 /** Time limits and intervals of a keeper. */
 struct KeeperTimes {
-	Millis lease = Millis(2000);           ///< Duration of an entry's lease on its view.
-	Millis fresh = Millis(1500);           ///< Leases are granted only when the log answered within this time.
-	Millis lapse = Millis(6000);           ///< Time without contact after which an entry or keeper is to be removed.
-	Millis plan_tick = Millis(500);        ///< Interval between planning steps.
-	Millis list_tick = Millis(1000);       ///< Interval between fetches of the list of boxes.
-	Millis planner_silence = Millis(6000); ///< A planner that wrote nothing for this time may be replaced.
-	Millis snapshot_age = Millis(6 * MS_PER_HOUR); ///< Age of the newest snapshot at which another is written.
-	uint64_t snapshot_records = 2000;              ///< Number of records after which a snapshot is written.
+	Millis lease = Millis(2000); ///< Duration of an entry's lease on its view.
+	Millis fresh = Millis(1500); ///< Age of the log's last answer up to which leases are granted; see MayGrantLeases().
+	Millis lapse = Millis(6000); ///< Time without contact after which a keeper proposes that a member leaves.
+	Millis plan_tick = Millis(500);                ///< Interval between planning steps.
+	Millis list_tick = Millis(1000);               ///< Interval between fetches of the list of boxes.
+	Millis planner_silence = Millis(6000);         ///< A planner that wrote nothing for this time may be replaced.
+	Millis snapshot_age = Millis(6 * MS_PER_HOUR); ///< Age of the newest snapshot after which the planner writes one.
+	uint64_t snapshot_records = 2000; ///< Number of records since a snapshot, after which the planner writes one.
 };
 
 /** Identity of a keeper. */
@@ -35,14 +35,14 @@
 	uint64_t plan_us = 0;        ///< Total time spent in planning steps, us.
 	uint64_t terms = 0;          ///< Planning terms acquired.
 	uint64_t snapshots = 0;      ///< Snapshots written.
-	uint64_t reboots = 0;        ///< Reboot orders sent.
+	uint64_t reboots = 0;        ///< Reboot orders sent, including repeated ones.
 	uint64_t views = 0;          ///< Views sent.
 	uint64_t frame_bytes = 0;    ///< Bytes of frames sent and received.
 	uint64_t leases = 0;         ///< Leases granted.
-	uint64_t leases_refused = 0; ///< Leases refused because the log did not answer.
+	uint64_t leases_refused = 0; ///< Leases refused because the state was not recent enough.
 };
 
-/** State shared by the parts of a keeper. Used by one thread only. */
+/** State shared by the parts of a keeper, all of which run on one thread. */
 struct KeeperCore {
 	KeeperIdentity self;                          ///< Identity of this keeper.
 	KeeperTimes times;                            ///< Time limits and intervals.
@@ -59,7 +59,7 @@
 
 /**
  * Builds the proposal by which a keeper joins. A repeated join of the same incarnation changes no membership, but it
- * advances the writer's sequence, which shows the other members that the keeper is alive.
+ * advances the writer's sequence in the log, which shows the other keepers that this one is alive.
  * @param self Identity of the keeper.
  * @return The proposal.
  */
--- a/src/keeper/keeper_dump.cpp
+++ b/src/keeper/keeper_dump.cpp
@@ -82,6 +82,7 @@
 	return rows;
 }
 
+/** @return Rows of all boxes that are not in service, for any reason. */
 QJsonArray Waves(const KeeperCore &core)
 {
 	QJsonArray rows;
@@ -93,6 +94,7 @@
 	return rows;
 }
 
+/** @return For each box, whether it may be taken down now, and why not. */
 QJsonArray Budgets(const KeeperCore &core)
 {
 	QJsonArray rows;
@@ -174,15 +176,16 @@
 	return rows;
 }
 
-/** Explains the state of a box or service: its row, its budget and the offset of the record that decided it. */
+/** Explains a box (its row, its budget and the offset of the record that granted its permit) or a service (each cell
+ * with the offset of the publication that set it). */
 QJsonArray Explain(const KeeperCore &core, const std::string &name)
 {
 	QJsonArray rows;
 	if (const auto box = core.State().boxes.find(BoxName(name)); box != core.State().boxes.end()) {
 		QJsonObject row = BoxRow(box->second);
-		constexpr uint64_t PERMITS_PER_RECORD = 65536;
+		constexpr uint64_t PERMIT_IDS_PER_RECORD = 65536;
 		const uint64_t permit = box->second.permit.Value();
-		row["granted_by_offset"] = Number(permit / PERMITS_PER_RECORD);
+		row["granted_by_offset"] = Number(permit / PERMIT_IDS_PER_RECORD);
 		row["state_since_ms"] = Number(static_cast<uint64_t>(box->second.since.Value()));
 		const Result budget = CheckBudget(PoolModelOf(core.State(), box->second.pool), box->second, false);
 		row["may_go_down"] = budget.Ok() ? QString("yes") : Text(budget.Text());
--- a/src/keeper/keeper_server.cpp
+++ b/src/keeper/keeper_server.cpp
@@ -101,7 +101,8 @@
 
 void KeeperServer::Stop(std::function<void()> done)
 {
-	/* Entries connect to another keeper when the connections close; another keeper takes the planning term. */
+	/* Stopping takes up to 2 s, until the leave is decided. When the connections close, entries connect to another
+	 * keeper; another keeper takes the planning term. */
 	MemberLeaveT leave;
 	leave.member = this->core.self.name.Value();
 	leave.incarnation = this->core.self.incarnation.Value();
@@ -207,7 +208,8 @@
 
 void KeeperServer::RequestStateFromPeers()
 {
-	/* Needed only while the log doesn't answer or has no snapshot that its retained records continue. */
+	/* Needed only while the log doesn't answer, or no longer keeps the next record and has no snapshot to go on from.
+	 */
 	const bool silent = this->tail.LastAnswer() + this->core.times.fresh < this->scheduler.Now();
 	if (!silent && this->tail.Phase() != TailPhase::TP_JOINING) {
 		return;
--- a/src/keeper/keeper_server.h
+++ b/src/keeper/keeper_server.h
@@ -11,7 +11,10 @@
 #include "region_planner.h"
 #include "snapshot_writer.h"
 
-/** The keeper process. */
+/**
+ * The keeper process. Each keeper applies the log to its own copy of the fleet's state, grants the entries of its
+ * availability zone views and leases, and may be the planner of its region.
+ */
 class KeeperServer : public Server {
 public:
 	explicit KeeperServer(const Settings &settings);
@@ -35,7 +38,7 @@
 	LogTail tail;                                             ///< Reads the log and applies it to the state.
 	LogWriter writer;                                         ///< Appends proposals to the log.
 	KeeperCore core;                                          ///< State shared by the handlers.
-	EntryHandler entries;                                     ///< Handles the entries of the zone.
+	EntryHandler entries;                                     ///< Serves the entries of the zone.
 	OperatorHandler operators;                                ///< Handles requests of operators.
 	RegionPlanner planner;                                    ///< Plans the region.
 	SnapshotWriter snapshots;                                 ///< Writes snapshots to the log.
--- a/src/keeper/operator_handler.cpp
+++ b/src/keeper/operator_handler.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-constexpr size_t MAX_RECENT_DECISIONS = 20000; ///< Most decisions kept.
-constexpr Millis OUTCOME_TIMEOUT(5000);        ///< After this time an undecided request is answered.
+constexpr size_t MAX_RECENT_DECISIONS = 20000; ///< Maximum number of remembered decisions.
+constexpr Millis OUTCOME_TIMEOUT(5000);        ///< Time after which an undecided request is answered.
 
 /** Builds the reply with an outcome. */
 MessageUnion OutcomeOf(const std::string &id, const Result &result, LogOffset offset)
@@ -104,6 +104,7 @@
 
 void OperatorHandler::OnAskOutcome(const AskOutcomeT &request, const Reply &reply) const
 {
+	/* A proposal may be in the log twice; the second copy is decided as a duplicate, which is not its outcome. */
 	const auto matches_id = [&](const Decision &decision) {
 		return decision.id.Text() == request.id && decision.result.code != ResultCode::RC_DUPLICATE;
 	};
--- a/src/keeper/operator_handler.h
+++ b/src/keeper/operator_handler.h
@@ -7,7 +7,8 @@
 #include <deque>
 #include <functional>
 
-/** Answers operators. An outcome is "accepted", "rejected" with a reason, or "unknown" when it is not known yet. */
+/** Answers operators. An outcome is RC_OK for an accepted change, RC_OUTCOME_UNKNOWN when it is not known yet, or else
+ * the reason why the change was rejected or not even appended to the log. */
 class OperatorHandler {
 public:
 	using Reply = std::function<void(const glade::wire::MessageUnion &)>;
@@ -52,7 +53,7 @@
 
 private:
 	KeeperCore &core;            ///< Shared state of the keeper.
-	std::deque<Decision> recent; ///< Most recent decisions, oldest first.
+	std::deque<Decision> recent; ///< The remembered decisions, oldest first.
 
 	void Propose(Proposal proposal, const Reply &reply);
 };
--- a/src/keeper/region_planner.cpp
+++ b/src/keeper/region_planner.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr size_t MAX_JOBS_PER_STEP = 200;     ///< Maximum number of jobs placed in one planning step.
-constexpr int64_t HEARTBEATS_PER_SILENCE = 3; ///< Heartbeats that a planner submits within its allowed silence.
-constexpr uint64_t TAKEOVER_DELAY_STEPS = 8;  ///< Number of different delays before keepers take over a term.
+constexpr size_t MAX_JOBS_PER_STEP = 200;     ///< Maximum number of jobs that one planning step places.
+constexpr int64_t HEARTBEATS_PER_SILENCE = 3; ///< Heartbeats that a planner submits per KeeperTimes::planner_silence.
+constexpr uint64_t TAKEOVER_DELAY_STEPS = 8;  ///< Number of different values of TakeoverDelay().
 
 bool EndBefore(const JobEnd &a, const JobEnd &b)
 {
@@ -28,7 +28,7 @@
 
 bool RegionPlanner::HoldsTerm() const
 {
-	/* A term of an earlier incarnation of this keeper doesn't count; this incarnation acquires a new one. */
+	/* The state may still name this keeper for a term of its earlier incarnation, which doesn't count. */
 	const auto holder = this->core.State().planners.find(this->core.self.region);
 	return holder != this->core.State().planners.end() && holder->second.member == this->core.self.name &&
 		   holder->second.term == this->own_term && this->own_term != Term();
@@ -49,7 +49,8 @@
 
 Millis RegionPlanner::TakeoverDelay() const
 {
-	/* The delay differs between keepers, so that one takes the term and the others read its record in time. */
+	/* The delay is 1 to 2 times planner_silence and differs between most keepers, so that one takes the term and the
+	 * others read its record before their own delays end. */
 	const uint64_t step = HashText(this->core.self.name.Value()) % TAKEOVER_DELAY_STEPS;
 	const int64_t silence = this->core.times.planner_silence.Value();
 	return Millis(silence + silence * static_cast<int64_t>(step) / static_cast<int64_t>(TAKEOVER_DELAY_STEPS));
@@ -58,7 +59,8 @@
 void RegionPlanner::Tick()
 {
 	if (!this->core.tail.CaughtUp()) {
-		/* While the log is unreachable no keeper can write, so its silence doesn't mean that the planner failed. */
+		/* While the log is unreachable no keeper can write, and while records are unread the planner's may be among
+		 * them: silence then doesn't mean that the planner failed. */
 		this->planner_last_seen = this->core.scheduler.Now();
 		return;
 	}
@@ -70,26 +72,26 @@
 	}
 	const auto &planners = this->core.State().planners;
 	const auto holder = planners.find(this->core.self.region);
-	const bool vacant = holder == planners.end() || holder->second.member == this->core.self.name ||
-						!this->core.State().members.contains(holder->second.member);
-	if (vacant || this->planner_last_seen + this->TakeoverDelay() < this->core.scheduler.Now()) {
+	const bool no_other_planner = holder == planners.end() || holder->second.member == this->core.self.name ||
+								  !this->core.State().members.contains(holder->second.member);
+	if (no_other_planner || this->planner_last_seen + this->TakeoverDelay() < this->core.scheduler.Now()) {
 		this->TakeTerm();
 	}
 }
 
 void RegionPlanner::TakeTerm()
 {
-	if (this->proposal_pending) {
+	if (this->term_pending) {
 		return;
 	}
-	this->proposal_pending = true;
+	this->term_pending = true;
 	const auto holder = this->core.State().planners.find(this->core.self.region);
 	glade::wire::PlannerTermT term;
 	term.region = this->core.self.region.Value();
 	term.member = this->core.self.name.Value();
 	term.seen_term = holder == this->core.State().planners.end() ? 0 : holder->second.term.Value();
 	this->core.writer.Submit(MakeProposal(std::move(term)), WritePriority::WP_CONFIG, [this](const Decision &decision) {
-		this->proposal_pending = false;
+		this->term_pending = false;
 		if (decision.result.Ok()) {
 			this->core.counters.terms++;
 			this->own_term = this->core.State().planners.at(this->core.self.region).term;
@@ -105,24 +107,27 @@
 		return;
 	}
 	this->last_heartbeat = now;
+	/* A repeated join serves as the heartbeat: it changes no membership, but every keeper reads it in the log. */
 	this->core.writer.Submit(MakeJoinProposal(this->core.self), WritePriority::WP_CONFIG);
 }
 
 void RegionPlanner::Submit(Proposal proposal, WritePriority priority)
 {
-	this->pending_proposals++;
-	this->core.writer.Submit(std::move(proposal), priority, [this](const Decision &) { this->pending_proposals--; });
+	this->pending_plan_proposals++;
+	this->core.writer.Submit(std::move(proposal), priority,
+							 [this](const Decision &) { this->pending_plan_proposals--; });
 }
 
 void RegionPlanner::Plan()
 {
-	this->OrderReboots();
-	this->OrderJobs();
+	this->SendRebootOrders();
+	this->SendJobOrders();
 	this->ReportLostJobs();
-	/* A step is planned only after all proposals of the last one are decided. */
-	const bool list_known =
+	/* Skips the step while proposals of the last one are undecided, or when the list is older than ten fetch intervals.
+	 */
+	const bool list_recent =
 			this->core.list_fetched_at + Millis(10 * this->core.times.list_tick.Value()) > this->core.scheduler.Now();
-	if (this->pending_proposals > 0 || !list_known) {
+	if (this->pending_plan_proposals > 0 || !list_recent) {
 		return;
 	}
 	const auto begin = std::chrono::steady_clock::now();
@@ -147,26 +152,27 @@
 
 void RegionPlanner::ReportDrains()
 {
-	if (this->pending_drains > 0) {
+	if (this->pending_drain_reports > 0) {
 		return;
 	}
 	PlannerInputs inputs;
 	inputs.drained = this->entries.DrainConfirmations();
 	for (Proposal &it : PlanDrains(this->core.State(), &this->core.self.zone, inputs)) {
-		this->pending_drains++;
+		this->pending_drain_reports++;
 		this->core.writer.Submit(std::move(it), WritePriority::WP_BOX,
-								 [this](const Decision &) { this->pending_drains--; });
+								 [this](const Decision &) { this->pending_drain_reports--; });
 	}
 }
 
-void RegionPlanner::OrderReboots()
+void RegionPlanner::SendRebootOrders()
 {
 	for (const auto &[name, box] : this->core.State().boxes) {
 		if (box.state != BoxState::BS_REBOOTING) {
 			continue;
 		}
 		const auto listed = std::ranges::find(this->core.list, name, &ListedBox::name);
-		/* Repeated until the list shows the boot under this permit: an order may be lost, and orders are idempotent. */
+		/* Sent at each tick until the list shows the boot under this permit: an order may be lost, and a repeated one
+		 * changes nothing. */
 		if (listed == this->core.list.end() || listed->booted_for != box.permit) {
 			this->core.counters.reboots++;
 			this->control.Reboot(name, box.permit);
@@ -174,7 +180,7 @@
 	}
 }
 
-void RegionPlanner::OrderJobs()
+void RegionPlanner::SendJobOrders()
 {
 	for (const auto &[name, job] : this->core.State().jobs) {
 		if (job.state == JobState::JS_PLACED) {
@@ -193,6 +199,7 @@
 		}
 		const auto box = this->core.State().boxes.find(job.box);
 		const bool lost = box == this->core.State().boxes.end() || box->second.epoch != job.box_epoch;
+		/* No worker is left to report the end; without its box the attempt counts as one whose lease has expired. */
 		const JobEnd end{name, job.attempt, JobOutcome::JO_LEASE_EXPIRED};
 		if (lost && !this->pending_ends.contains(end)) {
 			this->OnJobEnds({end});
--- a/src/keeper/region_planner.h
+++ b/src/keeper/region_planner.h
@@ -1,5 +1,5 @@
-/** @file region_planner.h Planner of a keeper's region: acquires the term, plans boxes and jobs, orders reboots and
- * jobs. */
+/** @file region_planner.h Planner of a keeper's region: acquires the term, plans boxes and jobs, and sends the
+ * platform the orders to reboot boxes and to start and stop jobs. */
 #ifndef REGION_PLANNER_H
 #define REGION_PLANNER_H
 
@@ -11,9 +11,9 @@
 #include <set>
 
 /**
- * Plans the keeper's region while it holds the region's term. Any keeper may take the term when the planner writes
- * nothing for too long. Two keepers that plan at the same time waste work but are safe: proposals are accepted under
- * one term only.
+ * Plans the keeper's region while the keeper holds the region's term: the right to plan. The keeper that holds it is
+ * the planner. Any keeper of the region may take the next term when the planner writes nothing for too long. Until the
+ * former planner reads of that, both plan, which wastes work but is safe: proposals are accepted under one term only.
  */
 class RegionPlanner {
 public:
@@ -26,13 +26,14 @@
 	RegionPlanner(KeeperCore &core, const EntryHandler &entries, BoxControl &control, PlannerPolicy policy);
 
 	/**
-	 * Reports drains. Then plans when this keeper holds the term, else takes the term when the planner is gone or has
-	 * written nothing for too long. Called every KeeperTimes::plan_tick.
+	 * Does nothing until the log is read to its end. Reports the confirmed drains of the keeper's zone, also without
+	 * the term. Then plans when this keeper holds the term, else takes the term when the planner is gone or has written
+	 * nothing for too long. Called every KeeperTimes::plan_tick.
 	 */
 	void Tick();
 
 	/**
-	 * Notes the decisions on a log record; those on the planner's proposals show that it is alive.
+	 * Takes any decision on a proposal of the planner as a sign that it is alive.
 	 * @param decisions Decisions on the proposals of one log record.
 	 */
 	void OnDecisions(const std::vector<Decision> &decisions);
@@ -51,20 +52,20 @@
 	const EntryHandler &entries;                 ///< Source of the confirmed drains.
 	BoxControl &control;                         ///< Control of boxes and jobs.
 	PlannerPolicy policy;                        ///< Weights of the planner.
-	Millis planner_last_seen;                    ///< When a decision on a proposal of the planner was last read.
+	Millis planner_last_seen;                    ///< Start of the silence after which this keeper takes the term.
 	Millis last_heartbeat = Millis(-MS_PER_DAY); ///< When this keeper last submitted a heartbeat.
-	bool proposal_pending = false;               ///< Whether a proposal to take the term is undecided.
+	bool term_pending = false;                   ///< Whether a proposal to take the term is undecided.
 	Term own_term;                               ///< Term that this process acquired last, 0 for none.
-	size_t pending_proposals = 0;                ///< Number of undecided proposals of the last plan.
-	size_t pending_drains = 0;                   ///< Number of undecided proposals about drains.
-	std::set<JobEnd, bool (*)(const JobEnd &, const JobEnd &)> pending_ends; ///< Ends proposed, not decided yet.
+	size_t pending_plan_proposals = 0;           ///< Number of undecided proposals of the last plan.
+	size_t pending_drain_reports = 0;            ///< Number of undecided reports of drains.
+	std::set<JobEnd, bool (*)(const JobEnd &, const JobEnd &)> pending_ends; ///< Ends proposed and undecided.
 
 	void TakeTerm();
 	void SubmitHeartbeat();
 	void Plan();
 	void Submit(Proposal proposal, WritePriority priority);
-	void OrderReboots();
-	void OrderJobs();
+	void SendRebootOrders();
+	void SendJobOrders();
 	void ReportLostJobs();
 	void ReportDrains();
 	[[nodiscard]] Millis TakeoverDelay() const;
--- a/src/keeper/snapshot_writer.cpp
+++ b/src/keeper/snapshot_writer.cpp
@@ -8,17 +8,17 @@
 void SnapshotWriter::Tick(bool planner)
 {
 	const Millis now = this->core.scheduler.Now();
-	if (this->core.tail.SnapshotBase() > this->last_base) {
-		this->last_base = this->core.tail.SnapshotBase();
-		this->last_written = now;
+	if (this->core.tail.SnapshotBase() > this->newest_base) {
+		this->newest_base = this->core.tail.SnapshotBase();
+		this->newest_read_at = now;
 	}
 	if (this->writing || !this->core.tail.CaughtUp()) {
 		return;
 	}
 	/* Other keepers wait for twice the limits, so that they write only when the planner doesn't. */
 	const uint64_t factor = planner ? 1 : 2;
-	const uint64_t records = this->core.State().offset.Value() - this->last_base.Value();
-	const Millis age = now - this->last_written;
+	const uint64_t records = this->core.State().offset.Value() - this->newest_base.Value();
+	const Millis age = now - this->newest_read_at;
 	const bool records_due = records > this->core.times.snapshot_records * factor;
 	const bool age_due =
 			records > 0 && age.Value() > this->core.times.snapshot_age.Value() * static_cast<int64_t>(factor);
--- a/src/keeper/snapshot_writer.h
+++ b/src/keeper/snapshot_writer.h
@@ -4,10 +4,11 @@
 
 #include "keeper_core.h"
 
-/** Writes snapshots when one is due. Any keeper may write one; the planner does so earlier than the others. */
+/** Writes a snapshot when enough records or time have passed since the newest one. Any keeper may write one; the
+ * planner does so earlier than the others. */
 class SnapshotWriter {
 public:
-	explicit SnapshotWriter(KeeperCore &core) : core(core), last_written(core.scheduler.Now()) {}
+	explicit SnapshotWriter(KeeperCore &core) : core(core), newest_read_at(core.scheduler.Now()) {}
 
 	/**
 	 * Writes a snapshot when one is due. Called about once a second.
@@ -16,10 +17,10 @@
 	void Tick(bool planner);
 
 private:
-	KeeperCore &core;     ///< Shared state of the keeper.
-	Millis last_written;  ///< When a newer snapshot was last read from the log; at first the start of the process.
-	LogOffset last_base;  ///< Base offset of the newest snapshot read.
-	bool writing = false; ///< Whether chunks of a snapshot are undecided.
+	KeeperCore &core;      ///< Shared state of the keeper.
+	Millis newest_read_at; ///< When the newest snapshot was read from the log; at first the start of the process.
+	LogOffset newest_base; ///< Base offset of the newest snapshot read.
+	bool writing = false;  ///< Whether chunks of a snapshot are undecided.
 
 	void Write();
 };
--- a/src/keeper/view_func.h
+++ b/src/keeper/view_func.h
@@ -9,8 +9,8 @@
  * Builds the complete view of a zone.
  * @param fleet The state.
  * @param zone The zone.
- * @param list The platform's list: a box that it lists with a health other than up is closed at once, before the log
- * records it.
+ * @param list The platform's list. A box that it shows with a health other than up is not open in the view, even before
+ * the log has recorded that.
  * @return The view with its hash; its version is not set.
  */
 glade::wire::ViewT BuildView(const FleetState &fleet, const ZoneName &zone, const std::vector<ListedBox> &list);
--- a/src/program/bounded_log.h
+++ b/src/program/bounded_log.h
@@ -32,7 +32,7 @@
 
 	Scheduler &scheduler;                               ///< Clock.
 	uint32_t per_second;                                ///< Maximum number of lines of one kind per second.
-	uint64_t dropped = 0;                               ///< For DroppedLines().
+	uint64_t dropped = 0;                               ///< Number of lines of all kinds dropped so far.
 	std::map<std::string, Window, std::less<>> windows; ///< Current window of each kind of line.
 };
 
--- a/src/program/program.cpp
+++ b/src/program/program.cpp
@@ -123,7 +123,7 @@
 
 void UseEpollEventLoop()
 {
-	/* Makes Qt use its own event loop instead of GLib's in other threads. */
+	/* Qt's own event loop takes less time per event than GLib's; it serves the threads other than the main one. */
 	qputenv("QT_NO_GLIB", "1");
 	QCoreApplication::setEventDispatcher(new EpollDispatcher);
 }
--- a/src/program/program.h
+++ b/src/program/program.h
@@ -19,7 +19,7 @@
 	EC_FAILED = 1,   ///< The operation was rejected or failed.
 	EC_USAGE = 2,    ///< The command line is not valid.
 	EC_SETTINGS = 3, ///< The settings are not valid.
-	EC_ADDRESS = 4,  ///< An address can't be listened on or connected to.
+	EC_ADDRESS = 4,  ///< An address can't be listened on, or a process doesn't answer.
 	EC_UNKNOWN = 5,  ///< The outcome is not known yet; it can be queried later.
 };
 
@@ -37,7 +37,7 @@
 	 */
 	virtual void Stop(std::function<void()> done) = 0;
 
-	/** Called when SIGHUP has reloaded the settings, which are valid. */
+	/** Called with valid settings after SIGHUP has made the program read them again. */
 	virtual void Reload(const Settings &) {}
 
 	/** @return The state for the dump. */
--- a/src/program/settings.h
+++ b/src/program/settings.h
@@ -31,8 +31,8 @@
 	const char *default_value; ///< Default value; null when the setting is required.
 	int64_t minimum;           ///< Smallest number, duration (ms) or decimal (thousandths).
 	int64_t maximum;           ///< Largest number, duration (ms) or decimal (thousandths).
-	const char *choices;       ///< Choice words or record fields, separated by '|'; '?' marks optional fields.
-	const char *help;          ///< One-line description.
+	const char *choices; ///< Words of a choice or fields of a record, separated by '|'; an optional field ends in '?'.
+	const char *help;    ///< One-line description.
 };
 
 /** One record of a setting of kind SK_RECORDS: values by field name. */
@@ -66,7 +66,7 @@
 private:
 	friend class SettingsReader;
 
-	std::map<std::string, std::string> values;                     ///< Text of each setting; lists joined by commas.
+	std::map<std::string, std::string> values; ///< Text of each setting; items of a list are separated by commas.
 	std::map<std::string, std::vector<SettingRecord>> record_sets; ///< Records of each setting.
 };
 
--- a/src/standin/endpoint/endpoint_standin.cpp
+++ b/src/standin/endpoint/endpoint_standin.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr int LATE_FACTOR = 10;            ///< Factor by which a late answer takes longer.
-constexpr Millis STREAM_PART_INTERVAL(20); ///< Interval of the parts of a stream.
-constexpr size_t STREAM_PART_BYTES = 1024; ///< Size of a part.
+constexpr int LATE_FACTOR = 10;            ///< Factor by which EF_LATE lengthens the run time.
+constexpr Millis STREAM_PART_INTERVAL(20); ///< Interval between the parts of a stream.
+constexpr size_t STREAM_PART_BYTES = 1024; ///< Size of a part of a stream.
 
 /** Sends a complete answer. @param sink Caller. @param status HTTP status. @param body Body, JSON. @param run Value of
  * the run header; null to leave it out. */
--- a/src/standin/endpoint/endpoint_standin.h
+++ b/src/standin/endpoint/endpoint_standin.h
@@ -7,20 +7,21 @@
 
 #include <map>
 
-/** Fault of the next requests; the numbers are used in POST /fault. */
+/** Fault of the next requests, set by its number in POST /fault. */
 enum class EndpointFault : uint8_t {
 	EF_NONE = 0,    ///< None.
 	EF_CLOSE = 1,   ///< Runs the request and closes without an answer.
 	EF_HALF = 2,    ///< Sends half of the answer and closes.
 	EF_STALL = 3,   ///< Sends half of the answer and stalls.
-	EF_LATE = 4,    ///< Answers after LATE_FACTOR times the ordinary time.
+	EF_LATE = 4,    ///< Answers after LATE_FACTOR times the run time.
 	EF_ERROR = 5,   ///< Answers 500.
 	EF_NOT_RUN = 6, ///< Answers 503 without running the request.
 };
 
 /**
  * Runs up to `slots` requests concurrently, each for the time `work`, and refuses more as not run. GET …?stream=N sends
- * N parts. POST /fault?kind=K&count=N sets a fault; GET /runs returns how often each Idempotency-Key or body ran.
+ * N parts. POST /fault?kind=K&count=N sets a fault; GET /runs returns how often each Idempotency-Key ran,
+ * or for requests without one, each combination of method, target and body.
  */
 class EndpointStandin : public Server, public RequestHandler {
 public:
--- a/src/standin/memory/box_site.cpp
+++ b/src/standin/memory/box_site.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr Millis ONE_WAY_LATENCY(1);         ///< Latency from a node to a box, and back.
-constexpr Millis LATE_DELAY(3000);           ///< Delay of an order that is executed late.
-constexpr Millis ORDER_TIMEOUT(350);         ///< Time after which an unanswered order has failed.
-constexpr Millis POLL_INTERVAL(5);           ///< Interval at which a waiting lease order checks for ends.
-constexpr Millis CANCEL_GRACE(3000);         ///< Time after a confirmed cancellation in which tasks may still start.
-constexpr Millis SHRINK_GRACE(4500);         ///< Time until reduced capacity is enforced: 3 s and one report.
-constexpr uint32_t CRASHES_BEFORE_LIMIT = 3; ///< Crashes while running a task, after which its starts are counted.
-constexpr uint32_t MAX_STARTS_AFTER_CRASHES = 3; ///< Number of such starts that violates the rule.
-constexpr uint32_t CRASHES_TO_FAIL = 2;          ///< Crashes while running a task after which it may be given up.
+constexpr Millis ONE_WAY_LATENCY(1);           ///< Latency from a node to a box, and back.
+constexpr Millis LATE_DELAY(3000);             ///< Delay of an order that is executed late.
+constexpr Millis ORDER_TIMEOUT(350);           ///< Time after which a node gives up an unanswered order.
+constexpr Millis POLL_INTERVAL(5);             ///< Interval at which a waiting lease order checks for ended runs.
+constexpr Millis CANCEL_GRACE(3000);           ///< Time after a confirmed cancellation in which tasks may still start.
+constexpr Millis SHRINK_GRACE(4500);           ///< Time until reduced capacity is enforced: 3 s and one report.
+constexpr uint32_t CRASHES_BEFORE_LIMIT = 3;   ///< Crashes during a task after which its starts are counted.
+constexpr uint32_t FORBIDDEN_START_NUMBER = 3; ///< Number of the first of these starts that is forbidden.
+constexpr uint32_t CRASHES_TO_FAIL = 2;        ///< Crashes during a task after which its job may fail.
 
 } // namespace
 
@@ -23,7 +23,7 @@
 {
 	Box &box = this->boxes[report.box];
 	box.report = report;
-	box.started = this->clock.Now();
+	box.clock_zero = this->clock.Now();
 	box.report.incarnation.started = this->clock.WallNow();
 }
 
@@ -43,7 +43,7 @@
 	report.incarnation.started = this->clock.WallNow() - this->wall_clock_lag;
 	box = Box{};
 	box.report = report;
-	box.started = this->clock.Now();
+	box.clock_zero = this->clock.Now();
 	return report;
 }
 
@@ -188,7 +188,7 @@
 {
 	const bool crashes_box = task.step == 0 && job.crashing_tasks.contains(task.index);
 	if (crashes_box && this->crashes_by_task[task] >= CRASHES_BEFORE_LIMIT &&
-		++this->starts_after_crashes[task] == MAX_STARTS_AFTER_CRASHES) {
+		++this->starts_after_crashes[task] == FORBIDDEN_START_NUMBER) {
 		this->AddViolation("started three times more after three boxes had crashed under it", task);
 	}
 }
@@ -275,7 +275,7 @@
 	this->CheckStart(*box, order);
 	this->CheckCapacity(*box, order.task, demand);
 	this->starts++;
-	this->started.insert(order.task.job);
+	this->started_jobs.insert(order.task.job);
 	this->absent_tasks.erase(order.task);
 	Run run{order.run, demand, TimerId()};
 	if (job != this->jobs.end() && !job->second.spec.steps.at(order.task.step).lasting) {
@@ -437,7 +437,7 @@
 void SiteOrders::Poll(const BoxReport &box, const LeaseOrder &order, Millis until,
 					  const BoxIncarnation &called_incarnation, const std::function<void(LeaseAnswer)> &done)
 {
-	/* A waiting call is lost when the box restarts. */
+	/* The restart of a box closes its connections, so that waiting calls get no answer. */
 	if (this->site.IncarnationOf(box.box) != called_incarnation) {
 		this->scheduler.After(ORDER_TIMEOUT, [done] { done(LeaseAnswer{}); });
 		return;
--- a/src/standin/memory/fleet_site.h
+++ b/src/standin/memory/fleet_site.h
@@ -33,8 +33,8 @@
 	std::map<BoxName, ListedBox> boxes; ///< Listed boxes by name.
 	std::map<std::string, int> starts;  ///< Started runs by job.
 	std::map<JobName, std::pair<JobEnd, bool>>
-			jobs;                    ///< Latest attempt, and whether it needs no report: it runs or is acknowledged.
-	int lose_orders = 0;             ///< Number of next orders to drop.
+			jobs;                    ///< Latest attempt by job; false once it has ended, until the end is acknowledged.
+	int lose_orders = 0;             ///< Number of orders to drop, from the next one on.
 	std::set<JobName> failing_jobs;  ///< Jobs that fail on every box.
 	std::set<BoxName> failing_boxes; ///< Boxes on which every job fails.
 	std::map<BoxName, int> reboots;  ///< Reboots carried out, by box.
@@ -42,6 +42,7 @@
 private:
 	VirtualScheduler &clock; ///< Clock of the simulation.
 
+	/** @return Whether the present order is to be dropped. */
 	bool TakeLostOrder();
 };
 
@@ -99,7 +100,7 @@
 	KeeperNode *keeper;      ///< Keeper that it is connected to, or null.
 	uint64_t incarnation;    ///< Its incarnation.
 	bool cut = false;        ///< Whether it is disconnected from its keeper.
-	uint64_t table_seen = 0; ///< Highest offset in force.
+	uint64_t table_seen = 0; ///< Not used.
 
 private:
 	uint64_t number = 0;                ///< Number of the last hello.
@@ -109,7 +110,7 @@
 	void Hello();
 };
 
-/** A whole site. Checks invariants after every record that a keeper applies. */
+/** A simulated deployment of two zones. Checks invariants after every record that a keeper applies. */
 class FleetSite {
 public:
 	explicit FleetSite(uint32_t boxes = 12, LogLimits limits = {});
@@ -134,7 +135,7 @@
 	/** @return A live keeper that follows the log, or else the first keeper. */
 	KeeperNode &AnyKeeper();
 
-	/** Publishes the first table and waits until all boxes are up. */
+	/** Publishes the first table and a team quota, then waits until all boxes are up. */
 	void SetUp();
 
 	/** Checks the invariants after a keeper has applied a record. @param keeper The keeper. @param decisions Decisions
--- a/src/standin/memory/keyed_store.h
+++ b/src/standin/memory/keyed_store.h
@@ -30,7 +30,7 @@
 	void Leave(const std::string &group, const std::string &member);
 	/** @return Holders of a group's partitions, without those of members whose membership has timed out. */
 	std::vector<PartitionHolder> Holders(const std::string &group, Millis now) const;
-	/** Compacts all partitions: only the newest record of each key remains. */
+	/** Compacts all partitions: records so far can't be read any more, only the newest one of each key by Newest(). */
 	void Compact();
 	/** Reassigns the partitions of all groups, as the platform may do at any time. */
 	void ReassignPartitions();
@@ -67,8 +67,8 @@
 		uint64_t generation = 0;                  ///< Increases with each assignment.
 		uint64_t rotation = 0;                    ///< Rotates the assignment.
 		std::map<std::string, Member> members;    ///< Members by name.
-		std::map<uint32_t, std::string> holders;  ///< Present holders by partition.
-		std::map<uint32_t, std::string> assigned; ///< Members that are to hold each partition.
+		std::map<uint32_t, std::string> holders;  ///< Current holder of each partition.
+		std::map<uint32_t, std::string> assigned; ///< Member that is to hold each partition.
 	};
 
 	uint32_t partition_count;                    ///< Partitions of each topic.
@@ -85,7 +85,7 @@
 	std::set<PartitionId> silent_partitions; ///< Partitions whose calls get no answer and are not executed.
 	bool refusing = false;                   ///< Appends and joins are refused, reads fail; nothing is executed.
 	uint32_t lose_every = 0;                 ///< Every n-th append is executed but not answered; 0 for none.
-	bool late = false;                       ///< Executes appends with a lost answer seconds later.
+	bool late = false;                       ///< Whether appends that lose their answer are executed LATE_DELAY later.
 	bool join_lost = false;                  ///< Joins get no answer and have no effect.
 	Millis latency = Millis(4);              ///< One-way latency.
 };
--- a/src/standin/memory/node_scheduler.h
+++ b/src/standin/memory/node_scheduler.h
@@ -10,7 +10,7 @@
 #include <memory>
 #include <utility>
 
-/** Runs callbacks on the simulation's clock while the process is alive. */
+/** Clock and timers of one simulated process. Its callbacks run on the simulation's clock while it is alive. */
 class NodeScheduler : public Scheduler {
 public:
 	explicit NodeScheduler(VirtualScheduler &clock) : clock(clock) {}
@@ -34,8 +34,8 @@
 		return id;
 	}
 
-	/** Suspends the machine: nothing runs, and pending timers don't count the time, while the clock does. @param span
-	 * Length of the suspension. */
+	/** Suspends the machine: nothing runs, and pending timers don't count the time. Now() counts it only if
+	 * `counts_sleep` is set. @param span Length of the suspension. */
 	void Suspend(Millis span)
 	{
 		this->paused_until = this->clock.Now() + span;
@@ -55,14 +55,14 @@
 	/** A pending timer. */
 	struct Timer {
 		std::function<void()> run; ///< Callback.
-		Millis suspended_time;     ///< Suspended time that it has already accounted for.
+		Millis suspended_time;     ///< Part of the node's total suspended time by which it was already delayed.
 	};
 
 	VirtualScheduler &clock;         ///< Clock of the simulation.
 	uint64_t last_id = 0;            ///< Id of the last timer.
 	std::map<TimerId, Timer> timers; ///< Pending timers, including those that a pause holds back.
 	Millis suspended_time;           ///< Total time for which the machine was suspended.
-	double stall_us = 0;             ///< Remaining stall.
+	double stall_us = 0;             ///< Remaining time for which the node stalls, us.
 	std::deque<TimerId> deferred;    ///< Timers that expired during a stall, in order.
 
 	void Arm(TimerId id, Millis delay)
--- a/src/standin/memory/request_world.cpp
+++ b/src/standin/memory/request_world.cpp
@@ -134,7 +134,8 @@
 	}
 };
 
-/** Owned by the exchange; the endpoint goes on with the request when the exchange drops it. */
+/** A call to a simulated endpoint, as the exchange owns it. When the exchange destroys it, the endpoint still runs the
+ * request. */
 class CallHandle : public EndpointCall {
 public:
 	explicit CallHandle(std::shared_ptr<FakeCall> call) : call(std::move(call)) {}
@@ -351,7 +352,8 @@
 		this->AddEntry("entry-" + std::to_string(i), "zone-a");
 	}
 	this->Tick();
-	/* Keys issued from now on must be later than the settling time of the first membership. */
+	/* Keys are accepted only if they were issued after the entries' first membership has settled, so that has to be
+	 * over before the test begins. */
 	this->Run(Millis(20000));
 	this->timeline.clear();
 	this->timeline_start = this->clock.Now();
--- a/src/standin/memory/request_world.h
+++ b/src/standin/memory/request_world.h
@@ -23,7 +23,7 @@
 	EB_HALF_CLOSE,   ///< Runs the request, sends half of the answer and closes.
 	EB_HALF_STALL,   ///< Runs the request, sends half of the answer and stalls.
 	EB_LATE,         ///< Runs the request and answers after the deadline.
-	EB_NOT_RUN,      ///< Answers 503 without running the request.
+	EB_NOT_RUN,      ///< Answers 503 without running the request, as it does when all slots are in use.
 	EB_ERROR,        ///< Runs the request and answers 500.
 	EB_COUNT,        ///< Number of behaviors.
 };
--- a/src/standin/platform/platform_standin.cpp
+++ b/src/standin/platform/platform_standin.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-/** A read that waits for a record up to a time limit. */
+/** A read that is answered after a delay, or earlier by WakeReads() when it waits for a record. */
 class WaitingRead : public ServedRequest, public std::enable_shared_from_this<WaitingRead> {
 public:
 	WaitingRead(PlatformStandin &platform, CallerSink &sink, LogOffset from)
@@ -72,7 +72,7 @@
 	void OnCallerDisconnected() override { this->sink = nullptr; }
 	void OnCallerWritable() override {}
 
-	/** Answers with the available records. */
+	/** Answers once with the available records. */
 	void Finish()
 	{
 		if (CallerSink *to = std::exchange(this->sink, nullptr); to != nullptr) {
--- a/src/standin/platform/platform_standin.h
+++ b/src/standin/platform/platform_standin.h
@@ -26,7 +26,7 @@
 	bool running = true; ///< Whether it still runs.
 };
 
-/** A long poll of the log. */
+/** A read of the log that is answered later: a long poll, or a delayed answer. */
 class WaitingRead;
 
 /**
--- a/tests/owner/main.cpp
+++ b/tests/owner/main.cpp
@@ -49,7 +49,7 @@
 	return static_cast<double>(now.tv_sec) * US_PER_SECOND + static_cast<double>(now.tv_nsec) / NS_PER_US;
 }
 
-/** A log that accepts every append and stores nothing. */
+/** A log that accepts every append and stores nothing. Other calls get no answer. */
 class AcceptingLog : public KeyedLog {
 public:
 	explicit AcceptingLog(Scheduler &scheduler) : scheduler(scheduler) {}
--- a/tests/owner/simulated_agents.h
+++ b/tests/owner/simulated_agents.h
@@ -48,7 +48,7 @@
 	size_t boxes;                                  ///< Number of boxes.
 	Millis run_time;                               ///< Time that every run takes.
 	QThread thread;                                ///< Thread of the listener and of all members below.
-	QObject thread_object;                         ///< Object of the thread, for calls to it.
+	QObject thread_object;                         ///< Object in the thread; functions invoked on it run there.
 	std::unique_ptr<QtScheduler> scheduler;        ///< Event loop of the thread.
 	std::unique_ptr<CallerListener> listener;      ///< Accepts connections.
 	CallerLimits limits;                           ///< Limits for connections.
--- a/tests/soak/soak_boxes.cpp
+++ b/tests/soak/soak_boxes.cpp
@@ -126,7 +126,7 @@
 	if (!answer->IsPending()) {
 		return;
 	}
-	/* A waiting call is lost when the box restarts. */
+	/* The restart of a box closes its connections, so that waiting calls get no answer. */
 	if (this->site.Down(box.box) || this->site.IncarnationOf(box.box) != box.incarnation) {
 		answer->Disconnect();
 		return;
--- a/tests/soak/soak_boxes.h
+++ b/tests/soak/soak_boxes.h
@@ -1,4 +1,5 @@
-/** @file soak_boxes.h Serves box agents and the control of machines over HTTP, on the state machine of the unit tests.
+/** @file soak_boxes.h Serves box agents and the control of machines over HTTP, with the simulated boxes of the unit
+ * tests, BoxSite.
  */
 #ifndef SOAK_BOXES_H
 #define SOAK_BOXES_H
@@ -10,7 +11,7 @@
 
 /** Faults of starts and stops sent to a box. */
 struct SoakBoxFaults {
-	int lose_percent = 0; ///< Percentage executed, but disconnected without an answer.
+	int lose_percent = 0; ///< Percentage executed, then disconnected without an answer.
 	bool late = false;    ///< Whether orders with a lost answer are executed LATE_DELAY later.
 };
 
@@ -29,7 +30,7 @@
 
 	BoxSite site;                            ///< State of the boxes.
 	std::map<BoxName, SoakBoxFaults> faults; ///< Faults by box.
-	std::function<void()> on_restart;        ///< Called when a box has restarted for maintenance.
+	std::function<void()> on_restart;        ///< Called MAINTENANCE_TIME after a restart for maintenance.
 
 private:
 	QtScheduler &scheduler;                 ///< Event loop.
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -104,6 +104,7 @@
 	if (job.cancel_wanted) {
 		this->scheduler.After(this->RandomMillis(300, 4000), [this, &job] { this->Cancel(job); });
 	}
+	/* The longest interval is twice the mean one. */
 	constexpr int64_t DOUBLE_SECOND_MS = 2000;
 	this->scheduler.After(this->RandomMillis(1, DOUBLE_SECOND_MS / this->options.jobs_per_second),
 						  [this] { this->SubmitNextJob(); });
@@ -131,7 +132,7 @@
 				}
 				const bool cut = reply.result == CallResult::CR_UNKNOWN && this->scheduler.Now() - sent < CALL_TIMEOUT;
 				/* During a planned stop a request, on an open or a new connection, is served whole or not read at
-				 * all. It must not be cut off while it is served. */
+				 * all, so it never ends with a lost connection before the timeout. */
 				if (cut && stopping && node.InUndisturbedStop() && this->active_store_faults == 0) {
 					this->failures.push_back(std::string("a planned stop of ") + node.Address() + " cut off " + method +
 											 " " + path);
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -25,7 +25,7 @@
 
 PartitionId SoakWorld::RandomPartition()
 {
-	/* A partition in which owners record: of a queue or of the fleet, main or spare. */
+	/* A partition to which the owner of a queue or of the fleet appends its records: partition 0, or 1 as its spare. */
 	const std::array topics = {"keyed.jobs.calc", "keyed.jobs.grid", "keyed.fleet"};
 	const char *topic = topics[this->RandomBelow(topics.size())];
 	return PartitionId{topic, this->RandomBelow(2)};
@@ -97,7 +97,8 @@
 			 }},
 			{"open_silent",
 			 [this, nothing] {
-				 /* The connections to the store of all nodes or of one, or the connections to one box. */
+				 /* Silences the connections of all nodes (0) or of one node (1) to the store, or all connections to one
+				  * box (2). */
 				 const uint32_t what = this->RandomBelow(3);
 				 if (what == 2) {
 					 this->box_proxies[this->RandomBelow(static_cast<uint32_t>(this->box_proxies.size()))]
--- a/tests/soak/soak_node.h
+++ b/tests/soak/soak_node.h
@@ -34,7 +34,7 @@
 	void Stop();
 	/** Stops the process with SIGSTOP for a while. @param span Time until it continues. */
 	void Freeze(Millis span);
-	/** Makes the process reload its settings. */
+	/** Makes the process read its settings again, with SIGHUP. */
 	void Reload();
 	/** Requests a planned stop without a restart. */
 	void Finish();
@@ -47,7 +47,7 @@
 	[[nodiscard]] bool IsHealthy() const;
 	/** @return Whether the process is not running. */
 	[[nodiscard]] bool HasExited() const { return this->process.state() == QProcess::NotRunning; }
-	/** Notes a fault of the store or of the connection to it. */
+	/** Marks the process as hit by a fault of the store or of the connection to it. */
 	void MarkFaulted() { this->faulted = true; }
 
 	SoakProxy proxy;             ///< Its connection to the store.
--- a/tests/soak/soak_store.cpp
+++ b/tests/soak/soak_store.cpp
@@ -62,7 +62,7 @@
 	const std::string path = PathOf(request.target);
 	const QUrlQuery query = QueryOf(request.target);
 	if (this->faults.silent_partitions.contains(PartitionOf(query))) {
-		return; /* Calls about groups name no partition, so they are never silenced. */
+		return; /* No answer is sent. Calls about groups name no partition and are never silenced. */
 	}
 	if (path == "/v1/log-append") {
 		this->Append(answer, request);
--- a/tests/soak/soak_store.h
+++ b/tests/soak/soak_store.h
@@ -1,4 +1,5 @@
-/** @file soak_store.h Serves the platform's keyed log over HTTP, on the state machine of the unit tests. */
+/** @file soak_store.h Serves the platform's keyed log over HTTP, with the simulated log of the unit tests, KeyedStore.
+ */
 #ifndef SOAK_STORE_H
 #define SOAK_STORE_H
 
@@ -10,7 +11,7 @@
 /** Faults of calls to the store. */
 struct SoakStoreFaults {
 	bool unavailable = false;                ///< Answers every call with 503; executes none.
-	int lose_percent = 0;                    ///< Percentage of appends executed, but disconnected without an answer.
+	int lose_percent = 0;                    ///< Percentage of appends executed, then disconnected without an answer.
 	bool late = false;                       ///< Whether appends with a lost answer are executed LATE_DELAY later.
 	std::set<PartitionId> silent_partitions; ///< Partitions whose calls get no answer and are not executed.
 	Millis added_latency;                    ///< Added to the time of each answer.
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -12,10 +12,10 @@
 constexpr Millis REPORT_INTERVAL(500);            ///< Interval of the boxes' reports.
 constexpr Millis CAPACITY_CHANGE_INTERVAL(700);   ///< Interval of changes of a box's capacity.
 constexpr Millis CRASH_INTERVAL(1900);            ///< Interval of crashes.
-constexpr uint32_t MAX_CRASHES_AT_ONCE = 3;       ///< Maximum of boxes that crash at a time.
+constexpr uint32_t MAX_CRASHES_AT_ONCE = 3;       ///< Maximum number of boxes that crash at a time.
 constexpr int64_t RESTART_MIN_MS = 50;            ///< Least time from a crash to the restart.
-constexpr uint32_t RESTART_SHORT_SPREAD_MS = 300; ///< Random addition for half of the crashes, to go unnoticed.
-constexpr uint32_t RESTART_LONG_SPREAD_MS = 4400; ///< Random addition for the other half of the crashes.
+constexpr uint32_t RESTART_SHORT_SPREAD_MS = 300; ///< Largest addition for half of the crashes, to go unnoticed.
+constexpr uint32_t RESTART_LONG_SPREAD_MS = 4400; ///< Largest addition for the other half of the crashes.
 constexpr uint32_t NEW_ID_ONE_IN = 4;             ///< One restart of this many is under a new id.
 constexpr Millis CRASH_RESTART_DELAY(1200);       ///< Time from a crash caused by a task to the restart.
 constexpr Millis WARM_UP(3000);                   ///< Time for nodes to start and claim their partitions.
@@ -159,7 +159,8 @@
 		services.append(QJsonObject{{"name", name}, {"admission-check", true}});
 	}
 	this->version += 1 + this->RandomBelow(3);
-	/* Each configuration adds a key and revokes the oldest; the account's maximum alternates. */
+	/* Each configuration adds a key and revokes the oldest, and sets the account's maximum by whether the version is
+	 * odd or even. */
 	this->keys.push_back("key-" + std::to_string(this->version));
 	if (this->keys.size() > MAX_VALID_KEYS) {
 		this->revoked_key = this->keys.front();
@@ -198,7 +199,7 @@
 void SoakWorld::EndFaults()
 {
 	this->load_ended = true;
-	/* Active faults end by themselves within FAULT_MAX. */
+	/* No fault is begun any more; the active ones end within FAULT_MAX. */
 	this->scheduler.After(FAULT_MAX, [this] {
 		this->faults_ended_at = this->scheduler.Now();
 		this->WaitUntilSettled();
@@ -231,7 +232,8 @@
 	if (this->load_ended) {
 		return;
 	}
-	/* Most boxes restart under their old id, either before their absence is noticed or long after. */
+	/* Most boxes restart under their old id. Half of them restart so soon that their absence may go unnoticed,
+	 * the others up to RESTART_LONG_SPREAD_MS later. */
 	BoxSite &site = this->boxes.site;
 	const std::vector<BoxReport> all = site.Reports();
 	const Millis default_delay = site.restart_delay;
@@ -350,7 +352,7 @@
 	for (const auto &node : this->nodes) {
 		node->Finish();
 	}
-	/* Callers keep using their connections during the stop. */
+	/* Sends requests during the stop: they must not be cut off. */
 	for (size_t n = 0; n < this->jobs.size() && n < this->nodes.size(); n++) {
 		this->PollState(*this->jobs[n]);
 	}
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_world.h
@@ -50,7 +50,7 @@
 	[[nodiscard]] std::string Summary() const;
 
 private:
-	/** A kind of fault. */
+	/** A kind of fault that the test may inject. */
 	struct Fault {
 		const char *name;                             ///< Name in the output.
 		std::function<std::function<void()>()> begin; ///< Begins the fault; returns what ends it, or null.
@@ -58,7 +58,7 @@
 
 	SoakOptions options;                                 ///< Options.
 	QtScheduler scheduler;                               ///< Event loop.
-	std::mt19937 random;                                 ///< All other random choices.
+	std::mt19937 random;                                 ///< Makes the random choices that no other generator makes.
 	std::minstd_rand capacity_random;                    ///< Chooses boxes whose capacity changes.
 	std::minstd_rand crash_random;                       ///< Chooses crashes of boxes.
 	SoakStore store;                                     ///< Store server.
@@ -67,7 +67,7 @@
 	std::vector<std::unique_ptr<SoakNode>> nodes;        ///< Node processes.
 	HttpCaller caller;                                   ///< Connections of callers.
 	std::vector<std::unique_ptr<SoakJob>> jobs;          ///< All submitted jobs.
-	std::vector<Fault> fault_kinds;                      ///< Faults to choose from.
+	std::vector<Fault> fault_kinds;                      ///< Kinds of faults to choose from.
 	std::vector<std::string> failures;                   ///< Failed checks of callers and nodes.
 	std::function<void()> done;                          ///< Called at the end.
 	Millis traffic_started_at;                           ///< Start of the traffic.
@@ -75,10 +75,10 @@
 	uint64_t version = 0;                                ///< Latest version of the configuration.
 	std::deque<std::string> keys;                        ///< Valid API keys, newest last.
 	std::string revoked_key;                             ///< Latest revoked key.
-	uint64_t wave = 0;                                   ///< Number of the last ordered wave.
+	uint64_t wave = 0;                                   ///< Number of the last wave: a request to maintain boxes.
 	uint32_t faults = 0;                                 ///< Number of faults begun.
 	uint32_t active_store_faults = 0;                    ///< Number of active faults of the store.
-	bool load_ended = false;                             ///< Whether no more jobs and faults are started.
+	bool load_ended = false; ///< Whether the time with faults is over: no more jobs and faults are started.
 
 	uint32_t RandomBelow(uint32_t below);
 	Millis RandomMillis(int64_t low, int64_t high);
--- a/tests/test_same_id.cpp
+++ b/tests/test_same_id.cpp
@@ -227,7 +227,7 @@
 	REQUIRE(open("calc") == 4);
 	const BoxName box("calc-box0");
 	world.site.Restart(box);
-	world.site.Serve(box, ServiceName("grid"));
+	world.site.SetService(box, ServiceName("grid"));
 	world.clock.RunUntil(Millis(5000));
 	CHECK(open("calc") == 3);
 	CHECK(open("grid") == 5);
