--- a/tests/golden.h
+++ b/tests/golden.h
@@ -10,7 +10,7 @@
 /**
  * Reads a file of the source tree. If the environment variable GLADE_GOLDEN is "write", writes the text to it first.
  * @param file The path, relative to the tests directory.
- * @param text The expected content.
+ * @param text The content to write.
  * @return The content of the file.
  */
 inline std::string ReadOrUpdateFile(const std::string &file, const std::string &text)
--- a/tests/job_world.h
+++ b/tests/job_world.h
@@ -62,7 +62,7 @@
 	}
 
 	bool unresponsive = false; ///< Whether it leaves questions unanswered.
-	size_t asked = 0;          ///< Number of boxes in all questions so far.
+	size_t asked = 0;          ///< Number of boxes in all questions so far, repeated ones included.
 
 private:
 	static constexpr Millis TICKET_VALIDITY = Millis(2000); ///< Validity of a ticket.
@@ -201,7 +201,7 @@
 	 * @param service The service that runs the job.
 	 * @param steps The steps of the job.
 	 * @param run_time Time that each task runs.
-	 * @param fail_first Number of runs that fail before one succeeds.
+	 * @param fail_first Number of runs of each task that fail before one succeeds.
 	 * @return The job.
 	 */
 	WorldJob &Plan(Millis at, const std::string &service, std::vector<StepSpec> steps, Millis run_time = Millis(500),
@@ -267,8 +267,8 @@
 		}
 	}
 
-	/** Begins to report ended incarnations to the shard owners periodically, as the fleet owner does. Each one is
-	 * reported for some seconds. */
+	/** Reports ended incarnations to the shard owners, now and periodically, as the fleet owner does. Each one is
+	 * reported for ENDED_REPORT_TIME after its box was last seen down. */
 	void ReportEndedIncarnations()
 	{
 		std::erase_if(this->ended,
@@ -309,7 +309,7 @@
 		return {first, last};
 	}
 
-	/** @return A step of long-running tasks, at most one per box, of which one may be stopped for planned work.
+	/** @return A step of long-running tasks, at most one per box, of which planned work may stop one at a time.
 	 * @param width Number of tasks. */
 	static std::vector<StepSpec> Lasting(uint32_t width)
 	{
--- a/tests/test_accounts.cpp
+++ b/tests/test_accounts.cpp
@@ -42,8 +42,8 @@
 		}
 	}
 
-	bool answers = true; ///< Whether questions are answered.
-	int asked = 0;       ///< Number of questions.
+	bool answers = true; ///< Whether requests for confirmation are answered.
+	int asked = 0;       ///< Number of requests for confirmation.
 
 private:
 	Scheduler &scheduler; ///< Timers for the answers.
@@ -106,7 +106,7 @@
 
 	JobWorld world;         ///< The simulated node, log and boxes.
 	WorldNode &node;        ///< The only node.
-	SlowFeed feed;          ///< Confirms whether the configuration is the newest.
+	SlowFeed feed;          ///< Confirms that the configuration is the newest.
 	JobHttpHandler handler; ///< Serves the calls.
 };
 
@@ -209,7 +209,7 @@
 	int refused = 0;
 	for (int n = 0; n < 3000; n++) {
 		clock.After(Millis(n), [&, n] {
-			/* Half of the calls use the same unknown key, half a new one each. */
+			/* Half of the calls use the same unknown key, the others use a new one each. */
 			const KeyHash key = HashKey(n % 2 == 0 ? KEY_BAD : "bad-" + std::to_string(n));
 			keys.Check(key, [&](KeyVerdict it) { refused += it == KeyVerdict::KV_UNKNOWN ? 1 : 0; });
 			CHECK(keys.Find(HashKey(KEY_A)) != nullptr);
@@ -217,7 +217,7 @@
 	}
 	clock.RunUntil(Millis(4000));
 	CHECK(refused == 3000);
-	/* At most ten per second. */
+	/* At most ten confirmations per second, for three seconds. */
 	CHECK(asked <= 31);
 }
 
--- a/tests/test_advice.cpp
+++ b/tests/test_advice.cpp
@@ -43,7 +43,7 @@
 	/* 30 tasks; no start was refused because of a missing or expired ticket. */
 	CHECK(world.site.starts == 30);
 	CHECK(world.OwnerOf(ServiceName("calc"))->host.Find(ServiceName("calc"))->Running()->Counters().refused == 0);
-	/* The policy is asked at most once per step about a box that it does not allow. */
+	/* For the 20 steps, the policy is asked on average at most once about each of the four boxes. */
 	CHECK(world.advisor.asked <= 20 * 4);
 }
 
@@ -64,7 +64,7 @@
 TEST_CASE("an expired ticket is requested again")
 {
 	PolicyWorld world;
-	/* The allowed box has capacity for eight tasks: the others wait until their tickets have expired. */
+	/* The allowed box has capacity for eight tasks: the other tasks wait until their tickets have expired. */
 	const WorldJob &job = world.Plan(Millis(2000), "calc", JobWorld::Chain(20), Millis(3000));
 	world.clock.RunUntil(Millis(30000));
 	CHECK(Completed(world, job));
--- a/tests/test_cancel_unseen.cpp
+++ b/tests/test_cancel_unseen.cpp
@@ -11,8 +11,8 @@
 const ServiceName CALC("calc");
 
 /**
- * Cuts the owner off from the store while the second step of its job is placed, and cancels the job through the inbox
- * at another node. No node takes over, as all others are paused.
+ * Cuts the owner off from the store, by default while the second step of its job is placed, and cancels the job through
+ * the inbox at another node. No node takes over, as all others are paused.
  * @param cut_for Time from the confirmed cancellation until the owner reaches the store again.
  * @param cut_at Time at which the owner is cut off.
  * @return Violated invariants.
@@ -58,7 +58,7 @@
 	}
 }
 
-/* The same fault at other times during the job, and with other durations. */
+/* Guards against such starts also when the owner is cut off at other times during the job, and for other durations. */
 TEST_CASE("starts wait until the inbox has been read, whenever the owner was cut off from the store")
 {
 	constexpr Millis CUT_AT_STEP(40);
@@ -72,7 +72,7 @@
 	}
 }
 
-TEST_CASE("an inbox that does not answer delays such starts only briefly")
+TEST_CASE("an inbox that does not answer delays the starts after such a cut-off only briefly")
 {
 	JobWorld world;
 	const WorldJob &job = world.Plan(Millis(4000), "calc", JobWorld::Chain(3));
--- a/tests/test_crashing_share.cpp
+++ b/tests/test_crashing_share.cpp
@@ -17,10 +17,10 @@
 constexpr uint32_t WIDTH = 8;                      ///< Tasks of a job.
 constexpr Millis FIRST_SUBMISSION(6000);           ///< Time of the first submission.
 constexpr Millis SUBMISSION_PERIOD(12000);         ///< Period of submissions.
-constexpr int JOBS = 140;                          ///< Number of jobs: 0.4 of the capacity of the boxes.
+constexpr int JOBS = 140;                          ///< Number of jobs; they use 0.4 of the capacity of the boxes.
 constexpr Millis SIMULATED_TIME(60000);            ///< Simulated time.
 
-/** A scenario in which one of every few jobs crashes its boxes. */
+/** A scenario in which every n-th job crashes its boxes. */
 struct CrashScenario {
 	/** @param each One of this many jobs crashes the boxes that start its first task; 0 for none. */
 	explicit CrashScenario(int each)
@@ -49,7 +49,7 @@
 		return std::ranges::count_if(jobs, [&](const WorldJob *it) { return this->world.ViewOf(*it).phase == phase; });
 	}
 
-	/** @return Number of runs lost in crashes of their boxes. */
+	/** @return Number of runs lost because their box ended or their lease expired. */
 	uint64_t LostRuns()
 	{
 		return std::as_const(this->world.OwnerOf(CALC)->host).Find(CALC)->Running()->Counters().lapsed;
@@ -62,8 +62,8 @@
 
 } // namespace
 
-/* Guards against failing jobs that merely ran beside one that crashes its boxes, and against a third crash by a job
- * already confirmed as the cause. */
+/* Guards against the failure of jobs that merely ran beside one that crashes its boxes, and against a third crash by a
+ * job already confirmed as the cause. */
 TEST_CASE("if a tenth of the jobs crash their boxes, only these are given up, each after two crashes")
 {
 	constexpr int TENTH = 10;
@@ -76,7 +76,7 @@
 	CHECK(scenario.world.site.crashes <= CRASHES_EACH * scenario.crashing.size());
 }
 
-/* Guards against crashes of fully loaded boxes. */
+/* Guards against crashes of full boxes, each of which ends the runs of up to some twenty other tasks. */
 TEST_CASE("each of a tenth of deadly jobs costs the others six runs at most")
 {
 	constexpr int TENTH = 10;
--- a/tests/test_crashing_tasks.cpp
+++ b/tests/test_crashing_tasks.cpp
@@ -1,9 +1,10 @@
 /** @file test_crashing_tasks.cpp Tasks that crash each box that starts them.
  *
- * Guards against a task that takes down one box after another. A task crashed its box 10 ms after the start; the box
- * came back after 3 s as a new incarnation, and the owner, which counted failed runs but not runs lost with their box,
- * started the task at once on the next box, beside as many other tasks as fit there. One such task reached 32 runs in
- * two minutes, 50 boxes were started 764 times, and 2,648 runs were lost, while none was counted as failed.
+ * Guards against a task that crashes one box after another. The task crashes its box 10 ms after the start, and the box
+ * is back after 3 s as a new incarnation. An owner that counts failed runs, but not runs lost with their box, starts
+ * the task at once on the next box, beside as many other tasks as fit there, whose runs the next crash ends too. In two
+ * minutes, one such task reached 32 runs, and 50 boxes, started 764 times in all, lost 2,648 runs, while none was
+ * counted as failed.
  */
 #include "job_world.h"
 
@@ -14,7 +15,7 @@
 
 namespace {
 
-constexpr Millis SIMULATED_TIME(40000); ///< Simulated time of a scenario; a crashed box is back after 3 s.
+constexpr Millis SIMULATED_TIME(40000); ///< Simulated time of a scenario; the last job is submitted at 13 s.
 constexpr int ORDINARY_JOBS = 24;       ///< Number of jobs that crash no box.
 constexpr Millis CRASH_INTERVAL(1500);  ///< Interval between crashes that no task causes.
 const ServiceName CALC("calc");
@@ -35,7 +36,7 @@
 		}
 	}
 
-	/** Schedules a kill of the node that owns the service. @param at Delay until the kill. */
+	/** Schedules a kill of the node that owns the service. @param at Time of the kill. */
 	void KillOwnerAt(Millis at)
 	{
 		this->world.clock.After(at, [this] {
@@ -45,8 +46,8 @@
 		});
 	}
 
-	/** Schedules crashes of boxes in turn that no task causes. @param from Time of the first. @param until End,
-	 * exclusive. */
+	/** Schedules crashes, not caused by a task, of the four boxes in turn. @param from Time of the first crash.
+	 * @param until Time before which all crashes are. */
 	void CrashBoxes(Millis from, Millis until)
 	{
 		for (Millis at = from; at < until; at = at + CRASH_INTERVAL) {
@@ -85,7 +86,8 @@
 	CrashScenario scenario(1);
 	scenario.Run();
 	CHECK(scenario.Count(scenario.ordinary, JobPhase::JP_COMPLETED) == ORDINARY_JOBS);
-	/* Without a count of lost runs: 11 crashes, and 5 of 24 ordinary jobs not completed. */
+	/* The job fails after two crashes if the second is attributed to its task; one more is allowed. Without a count
+	 * of lost runs there were 11 crashes, and 5 of 24 ordinary jobs did not complete. */
 	CHECK(scenario.world.site.crashes <= 3);
 }
 
@@ -94,7 +96,8 @@
 	CrashScenario scenario(4);
 	scenario.Run();
 	CHECK(scenario.Count(scenario.ordinary, JobPhase::JP_COMPLETED) == ORDINARY_JOBS);
-	/* Without a count of lost runs: 40 crashes, and 13 of 24 ordinary jobs not completed. */
+	/* Three crashes for each of the four tasks. Without a count of lost runs there were 40 crashes, and 13 of 24
+	 * ordinary jobs did not complete. */
 	CHECK(scenario.world.site.crashes <= 12);
 }
 
@@ -112,7 +115,7 @@
 
 TEST_CASE("crashes that happen without an owner are counted by the next owner")
 {
-	/* Guards against starts that are not counted since the owner is killed just after each of them. */
+	/* Guards against crashes that are not counted because the owner is killed and replaced just after each of them. */
 	CrashScenario scenario(1);
 	scenario.world.site.restart_delay = Millis(1200);
 	uint64_t crashes = 0;
@@ -131,7 +134,7 @@
 	scenario.Run();
 }
 
-TEST_CASE("a task that crashes its boxes is given up also if they come back only after its lease has lapsed")
+TEST_CASE("a task that crashes its boxes is given up even if they come back only after its lease has lapsed")
 {
 	CrashScenario scenario(1);
 	scenario.world.site.restart_delay = Millis(9000);
@@ -139,7 +142,7 @@
 	scenario.Run();
 }
 
-TEST_CASE("a task that crashes its boxes is given up also if every third answer of boxes is lost")
+TEST_CASE("a task that crashes its boxes is given up even if every third answer to a start or stop order is lost")
 {
 	CrashScenario scenario(2);
 	for (const BoxReport &it : scenario.world.site.Reports()) {
@@ -187,10 +190,10 @@
 	CHECK(world.site.violations == std::vector<std::string>{});
 }
 
-TEST_CASE("a job doesn't fail when two boxes crash just after starting its long-running task, for another cause")
+TEST_CASE("a job doesn't fail when a box crashes twice soon after starting its long-running task, for another cause")
 {
-	/* The second start runs in quarantine. Its box crashes 317 ms later, and the last lease renewal is answered only
-	 * seconds after that. */
+	/* The second crash comes after the 300 ms for which a suspected task is isolated. The owner must know that the box
+	 * was up until then, although the pending lease renewal would be answered only seconds later. */
 	for (const int64_t after : {320, 400, 600, 900, 1500}) {
 		CAPTURE(after);
 		JobWorld world;
@@ -210,7 +213,7 @@
 	}
 }
 
-TEST_CASE("a long-running task is restarted however often its box crashes one second after the start")
+TEST_CASE("a long-running task is restarted however often all boxes crash about one second after its start")
 {
 	/* Guards against a task that is no longer started after four such crashes. */
 	JobWorld world;
@@ -250,7 +253,8 @@
 
 TEST_CASE("crashes of boxes count after a drain that was called off")
 {
-	/* Guards against crashes that are not counted for ten seconds after the move of a box was ordered and rejected. */
+	/* Guards against crashes that are not counted at all in the ten seconds after a drain began, in which an order to
+	 * move the box may still be carried out, although the drain was called off. */
 	CrashScenario scenario(1);
 	scenario.world.site.restart_delay = Millis(1200);
 	scenario.world.clock.RunUntil(Millis(1400));
@@ -264,8 +268,9 @@
 	scenario.Run();
 }
 
-/* Guards against a sixth start of a task that crashes its boxes: a wave began to drain a box that was already down from
- * a crash, and when the next incarnation answered, the crash was attributed to the wave. */
+/* Guards against a sixth start of a task that crashes its boxes: a maintenance wave began to drain a box that was
+ * already down after a crash, and when the next incarnation answered, the end of the box was taken for a planned one.
+ */
 TEST_CASE("a drain that began after a box had crashed doesn't hide the crash")
 {
 	CrashScenario scenario(1);
@@ -278,7 +283,7 @@
 				down_at[it.box] = at;
 			}
 		}
-		/* A box is drained from its crash until its next incarnation has been seen. */
+		/* Each box is drained while it is down and for 500 ms more, so that its next incarnation answers meanwhile. */
 		std::erase_if(down_at, [at](const auto &it) { return at - it.second > Millis(500); });
 		std::set<BoxName> drained;
 		std::ranges::copy(down_at | std::views::keys, std::inserter(drained, drained.end()));
@@ -289,7 +294,7 @@
 	scenario.Run();
 }
 
-TEST_CASE("the end of a box counts as no crash if it was planned or if the report of the box was gone before")
+TEST_CASE("the end of a box is not a certain crash if the box was drained, or its report removed, before")
 {
 	JobWorld world;
 	const WorldJob &job = world.Plan(Millis(1000), "calc", JobWorld::Chain(1), Millis(20000));
@@ -303,7 +308,7 @@
 		REQUIRE(holding != shard->Boxes().end());
 		const BoxName box = holding->second.report.box;
 		if (at % 4000 == 0) {
-			/* The box is taken down only after the owner of the pool had time to answer. */
+			/* A box is taken down only after the owner of its pool has had time to answer the request to drain it. */
 			shard->Drain({box}, {});
 			world.clock.RunUntil(Millis(at + 1200));
 		} else {
@@ -316,7 +321,7 @@
 	REQUIRE(owner != nullptr);
 	const Shard *shard = owner->host.Find(CALC)->Running();
 	CHECK(shard->Jobs().at(job.spec.id).tasks.front().crashes == 0);
-	/* The three ends after a removed report. */
+	/* Each of the three ends after a removed report may count as a possible crash. */
 	CHECK(shard->Jobs().at(job.spec.id).tasks.front().crashes_possible <= 3);
 	CHECK(shard->Counters().crashed == 0);
 }
@@ -339,7 +344,7 @@
 TEST_CASE("tasks of a crashed box start elsewhere once its machine is listed as down")
 {
 	constexpr Millis CRASH_AT(3000);
-	constexpr Millis RESTART_WITHIN(500); ///< Listing, notification of the owner, and the append of the new start.
+	constexpr Millis RESTART_WITHIN(500); ///< To list the machine, notify the owner, and append the start.
 	constexpr Millis RUN_TIME(1000);
 	JobWorld world;
 	const WorldJob &job = world.Plan(Millis(2500), "calc", JobWorld::Chain(1), RUN_TIME);
@@ -359,7 +364,7 @@
 
 TEST_CASE("a task that crashes its boxes is given up sooner if machines that are down are listed")
 {
-	constexpr Millis FAILED_WITHIN(4000); ///< From the submission at 2 s: two crashes, and a wait for the start.
+	constexpr Millis FAILED_WITHIN(4000); ///< Limit after the submission at 2 s: two crashes and a restart.
 	CrashScenario scenario(1);
 	scenario.world.ReportEndedIncarnations();
 	scenario.world.clock.RunUntil(Millis(2000) + FAILED_WITHIN);
@@ -368,12 +373,12 @@
 	CHECK(scenario.Count(scenario.ordinary, JobPhase::JP_COMPLETED) == ORDINARY_JOBS);
 }
 
-/* Guards against a suspected task that waits while all boxes but the quarantine box are full, and then starts beside
- * other tasks again. */
+/* Guards against a suspected task that waits while all boxes but the quarantine box are full, and is then started
+ * beside other tasks again, whose runs the next crash ends too. */
 TEST_CASE("a task suspected of a crash is tried in quarantine while all other boxes are full")
 {
-	constexpr Millis SECOND_AT(7000);     ///< By now starts on one box are spaced: a crash has one suspect.
-	constexpr Millis FAILED_WITHIN(5000); ///< Time for two crashes, and for runs of 1 s on the quarantine box to end.
+	constexpr Millis SECOND_AT(7000);     ///< By then starts on a box are spaced, so a crash has one suspect.
+	constexpr Millis FAILED_WITHIN(5000); ///< Limit for two crashes, and for runs of 1 s to clear the quarantine box.
 	constexpr uint64_t TASKS_PER_BOX = 8; ///< Tasks that fit on a box.
 	constexpr int FILLER_JOBS = 120;      ///< Jobs that keep all boxes full for 16 s.
 	CrashScenario scenario(1);
@@ -384,15 +389,15 @@
 	scenario.world.site.JobOf(second.spec.id).crashing_tasks = {0};
 	scenario.world.ReportEndedIncarnations();
 	scenario.world.clock.RunUntil(SECOND_AT);
-	const auto lost = [&scenario] {
+	const auto lapsed_runs = [&scenario] {
 		return std::as_const(scenario.world.OwnerOf(CALC)->host).Find(CALC)->Running()->Counters().lapsed;
 	};
-	const uint64_t before = lost();
+	const uint64_t before = lapsed_runs();
 	REQUIRE(scenario.Count(scenario.crashing, JobPhase::JP_FAILED) == 1);
 	scenario.world.clock.RunUntil(SECOND_AT + FAILED_WITHIN);
 	CHECK(scenario.world.ViewOf(second).phase == JobPhase::JP_FAILED);
-	/* All runs on the first box, and the task alone on the second. */
-	CHECK(lost() - before <= TASKS_PER_BOX + 1);
+	/* The first crash ends all runs on a full box, the second only the run of the task. */
+	CHECK(lapsed_runs() - before <= TASKS_PER_BOX + 1);
 	scenario.Run();
 	CHECK(scenario.Count(scenario.ordinary, JobPhase::JP_COMPLETED) == ORDINARY_JOBS + FILLER_JOBS);
 }
--- a/tests/test_fair_shares.cpp
+++ b/tests/test_fair_shares.cpp
@@ -1,5 +1,5 @@
-/** @file test_fair_shares.cpp One account submits far more jobs to a queue than its boxes can run: the service that
- * each account gets. */
+/** @file test_fair_shares.cpp The service that each account gets while one of them submits far more jobs to a queue
+ * than its boxes can run. */
 #include "account/fair_split.h"
 #include "job_world.h"
 
@@ -92,10 +92,10 @@
 	CHECK(overloaded.world.site.violations == std::vector<std::string>{});
 }
 
-TEST_CASE("fair shares: the boxes stay fully used: the overloading account gets the capacity that others leave")
+TEST_CASE("fair shares: the boxes stay fully used, as the overloading account gets the capacity that others leave")
 {
 	SharesWorld overloaded(OVERLOAD_FACTOR, {10, 10, 10});
-	/* 16 per second, less the loss at the start and the jobs that were started but ended late. */
+	/* The boxes complete 16 jobs per second, 160 in all, less the loss at the start and jobs that end late. */
 	CHECK(overloaded.OnTimeTotal() >= 110);
 	CHECK(overloaded.OnTimeShare(0) > 0.1);
 }
--- a/tests/test_fleet_owner.cpp
+++ b/tests/test_fleet_owner.cpp
@@ -75,7 +75,7 @@
 	std::vector<std::string> names; ///< Names of the boxes.
 };
 
-/** Pool owners whose boxes have no tasks and drain at once; published waves are discarded. */
+/** Pool owners whose boxes have no tasks and drain at once; reports about waves are discarded. */
 class IdlePools : public PoolOwnerClient, public WaveReporter {
 public:
 	explicit IdlePools(std::vector<std::string> names) : names(std::move(names)) {}
@@ -198,6 +198,7 @@
 	CHECK(world.machines.orders.size() <= before + 1); /* one may have been recorded before */
 	const size_t while_unreachable = world.machines.orders.size();
 	world.log.faults.silent = false;
+	/* An append takes 0.96 s: by then another holder may give orders, so those recorded by it are dropped. */
 	world.log.faults.latency = Millis(480);
 	world.clock.RunUntil(world.clock.Now() + Millis(4000));
 	CHECK(world.machines.orders.size() == while_unreachable);
@@ -301,10 +302,10 @@
 }
 
 /* Guards against orders that are delayed by the queue of records. Each box whose maintenance has begun gets a record of
- * its own, at 11 ms each. The record of urgent moves was queued behind those of 37 boxes, although nothing waits for
- * the latter: moves of 129 boxes decided at 3.50 s were ordered at 3.93 s, and the boxes took tasks from 6.1 s on,
- * while demand for 13 thousand cores waited. With queued records written in one append: ordered at 3.50 s, tasks
- * from 5.48 s on. */
+ * its own, and nothing waits for these. With an append of 11 ms for each, the record of urgent moves was queued behind
+ * those of 37 boxes: moves of 129 boxes decided at 3.50 s were ordered at 3.93 s, and the boxes took tasks from 6.1 s
+ * on, while demand for 13 thousand cores waited. With queued records written in one append, the moves are ordered at
+ * 3.50 s, and the boxes take tasks from 5.48 s on. */
 TEST_CASE("orders to machines don't wait for forty records of begun maintenance")
 {
 	constexpr size_t MANY = 40;
--- a/tests/test_incarnation_tracker.cpp
+++ b/tests/test_incarnation_tracker.cpp
@@ -72,14 +72,14 @@
 	CHECK(tracker.EndedIn(CALC).empty());
 }
 
-TEST_CASE("if an id is reused, only the incarnation that the owner knew before the list has ended")
+TEST_CASE("if a box restarts with the same id, only the incarnation known before its end counts as ended")
 {
 	IncarnationTracker tracker;
 	tracker.RecordKnown(PoolsWith({IncarnationOf("a", 100)}));
 	tracker.Update({Row("a")}, Millis(0));
 	CHECK(tracker.Update({Row("", MachineState::MS_DOWN)}, Millis(200)) == std::set{CALC});
 	CHECK(tracker.EndedIn(CALC) == std::set{IncarnationOf("a", 100)});
-	/* The box is back under its id: the incarnation still reported as ended is not the one that runs now. */
+	/* The box is back with the same id, and the ended incarnation is still reported: the one that runs now is not. */
 	tracker.RecordKnown(PoolsWith({IncarnationOf("a", 350)}));
 	CHECK(tracker.Update({Row("a")}, Millis(400)).empty());
 	CHECK(tracker.EndedIn(CALC) == std::set{IncarnationOf("a", 100)});
--- a/tests/test_job_matrix.cpp
+++ b/tests/test_job_matrix.cpp
@@ -15,7 +15,7 @@
 struct Fault {
 	const char *name;                      ///< Name for messages.
 	std::function<void(JobWorld &)> begin; ///< Starts the fault.
-	std::function<void(JobWorld &)> end;   ///< Ends the fault; does nothing for lasting faults.
+	std::function<void(JobWorld &)> end;   ///< Ends the fault; does nothing if it is permanent or ends by itself.
 };
 
 void EachNode(JobWorld &world, const std::function<void(WorldNode &)> &change)
@@ -141,9 +141,9 @@
 		Fault{"partitions reassigned", [](JobWorld &w) { w.store.ReassignPartitions(); },
 			  [](JobWorld &w) { w.store.ReassignPartitions(); }},
 		Fault{"log compacted", [](JobWorld &w) { w.store.Compact(); }, [](JobWorld &w) { w.store.Compact(); }},
-		Fault{"box dark", [](JobWorld &w) { FirstBox(w).unreachable = true; },
+		Fault{"box unreachable", [](JobWorld &w) { FirstBox(w).unreachable = true; },
 			  [](JobWorld &w) { FirstBox(w).unreachable = false; }},
-		Fault{"box dark, owner killed",
+		Fault{"box unreachable, owner killed",
 			  [](JobWorld &w) {
 				  FirstBox(w).unreachable = true;
 				  w.unlisted.insert(BoxName("calc-box0"));
@@ -215,7 +215,7 @@
 		CAPTURE(job->spec.id.Value());
 		const JobView view = world.ViewOf(*job);
 		if (!job->accepted) {
-			/* Either every attempt was definitely refused, or the outcome is unknown to the caller. */
+			/* A job whose every submission was definitely refused doesn't exist; otherwise the caller can't know. */
 			CHECK((job->refused < job->attempts || !view.known));
 			continue;
 		}
@@ -280,7 +280,7 @@
 	}
 	REQUIRE(holding.size() == 3);
 	world.site.faults[holding[0]].unreachable = true;
-	/* Longer than the timeout of a call, but shorter than the lease: the task may still run or not. */
+	/* Longer than the timeout of a call, but shorter than the lease: the task may or may not still run. */
 	world.clock.RunUntil(Millis(6500));
 	const uint64_t stops = shard->Counters().stops;
 	shard->Drain({holding[1]}, {});
@@ -371,7 +371,7 @@
 	CHECK(world.site.violations == std::vector<std::string>{});
 }
 
-TEST_CASE("a box of which single answers are lost still gets tasks, and ends of its runs are soon known")
+TEST_CASE("a box that loses every second lease answer still gets tasks, and the ends of its runs are soon known")
 {
 	JobWorld world;
 	for (const BoxReport &it : world.site.Reports()) {
@@ -387,7 +387,7 @@
 		CHECK(std::ranges::count(status.boxes, true, &PoolBox::placing) == 4);
 	}
 	const WorldJob &job = world.Plan(Millis(100), "calc", JobWorld::Chain(4), Millis(300));
-	/* Two steps of 0.3 s; for each at most three lost answers with 0.6 s in all. */
+	/* Two steps of 0.3 s; in each, at most three lost answers delay the end by 0.6 s in all. */
 	world.clock.RunUntil(Millis(6100 + 600 + 1200));
 	CHECK(world.ViewOf(job).phase == JobPhase::JP_COMPLETED);
 }
@@ -435,7 +435,7 @@
 							  [&accepted](ResultCode code) { accepted += code == ResultCode::RC_OK ? 1 : 0; });
 	}
 	/* The append in progress and that of the jobs: 0.4 s each. With separate appends for jobs and placements, and a
-	 * read between them, it would be 1.2 s at least. */
+	 * read between them, it would take 1.2 s at least. */
 	world.clock.RunUntil(Millis(3000 + 850));
 	CHECK(accepted == jobs.size());
 	CHECK(std::ranges::all_of(jobs, [&world](const WorldJob *it) { return world.site.Started(it->spec.id); }));
--- a/tests/test_late_work.cpp
+++ b/tests/test_late_work.cpp
@@ -4,7 +4,8 @@
 #include <doctest/doctest.h>
 
 /* Guards against a queue keeping all boxes for a backlog that can no longer be on time, while another queue has jobs
- * that can: from the eighth second after an overload on, each second yielded 0.16 to 0.33 of the possible value. */
+ * that can: from the eighth second after an overload on, the jobs of each second yielded only 0.16 to 0.33 of the
+ * possible value. */
 TEST_CASE("late work: jobs that can be on time get boxes before those that can't")
 {
 	FleetView view;
--- a/tests/test_room.cpp
+++ b/tests/test_room.cpp
@@ -1,4 +1,4 @@
-/** @file test_room.cpp Boxes whose capacity changes while they run, and that accept each start order. */
+/** @file test_room.cpp Boxes whose capacity changes while they run, and that accept starts beyond it. */
 #include "job_world.h"
 
 #include <doctest/doctest.h>
@@ -41,12 +41,14 @@
 	JobWorld world;
 	world.site.checks_capacity = false;
 	world.clock.RunUntil(Millis(3000));
-	/* Placed by the old capacity. The orders are lost, and repeated as too many tasks of the step are not running. */
+	/* The tasks are placed by the old capacity. Their start orders are lost and then repeated: no task is stopped,
+	 * since too many tasks of the step are absent for a planned stop. */
 	SetOrdersLost(world, true);
 	const WorldJob &job = world.Plan(Millis(0), "calc", JobWorld::Lasting(3));
 	world.clock.RunUntil(Millis(3500));
 	ResizeAll(world, SMALL_CAPACITY);
-	/* The owner learns the new capacity with the next lease renewal and applies it 4.5 s later. */
+	/* The owner learns the new capacity with the next report, within 0.5 s. From 4.5 s after the change on, the
+	 * simulation counts starts beyond it as violations. */
 	world.clock.RunUntil(Millis(9000));
 	SetOrdersLost(world, false);
 	world.clock.RunUntil(Millis(12000));
--- a/tests/test_same_id.cpp
+++ b/tests/test_same_id.cpp
@@ -18,7 +18,7 @@
 /** Outcome of a scenario. */
 struct CrashOutcome {
 	std::vector<std::string> violations; ///< Violated invariants.
-	int64_t unfinished = 0;              ///< Accepted jobs that never ended, or failed without cause.
+	int64_t unfinished = 0;              ///< Accepted jobs that never ended, or failed without a valid cause.
 };
 
 constexpr int JOBS = 60;                   ///< Number of jobs.
@@ -26,7 +26,7 @@
 constexpr int CRASHES = 8;                 ///< Number of crashes, of the four boxes in turn.
 constexpr Millis FIRST_CRASH(4000);        ///< Time of the first crash.
 constexpr Millis CRASH_INTERVAL(1700);     ///< Interval between crashes.
-constexpr Millis OWNER_KILLED_AT(9000);    ///< Between the crashes.
+constexpr Millis OWNER_KILLED_AT(9000);    ///< Just before the fourth crash.
 constexpr Millis SIMULATED_TIME(60000);    ///< Simulated time.
 
 CrashOutcome RunScenario(const CrashScenario &scenario)
@@ -139,6 +139,7 @@
 			}
 			for (const BoxReport &it : world.site.Reports()) {
 				world.clock.After(CRASHED_AT, [&world, box = it.box] { world.site.Crash(box); });
+				/* Three of the four boxes are cut off; their tasks could only be started on the fourth. */
 				world.clock.After(CRASHED_AT + Millis(back_after + cut_after), [&world, box = it.box] {
 					world.site.faults[box].unreachable = box.Value() != "calc-box3";
 				});
--- a/tests/test_shares.cpp
+++ b/tests/test_shares.cpp
@@ -133,7 +133,8 @@
 		this->recording = false;
 	}
 
-	/** Replaces the owner of a random service by a new one, which knows the tasks recorded as placed. */
+	/** Replaces the owner of a random service by a new one, which knows the tasks recorded as placed; with a
+	 * probability of one half also that of the ledger. */
 	void ReplaceOwners()
 	{
 		Service &service = this->services[this->random() % this->services.size()];
@@ -240,7 +241,7 @@
 
 } // namespace
 
-TEST_CASE("shares: what is left is split evenly among those that want more")
+TEST_CASE("shares: small demands are met, and what is left is split evenly among those that want more")
 {
 	CHECK(FairSplit({10, 20, 30}, 100) == std::vector<uint32_t>{10, 20, 30});
 	CHECK(FairSplit({10, 80, 90}, 100) == std::vector<uint32_t>{10, 45, 45});
@@ -259,7 +260,7 @@
 	}
 }
 
-TEST_CASE("shares: a lowered maximum stops no run, and no start within the new maximum")
+TEST_CASE("shares: a lowered maximum stops no runs, and starts within the new maximum go on")
 {
 	ShareWorld world(4, 2, 1, ShareFaults{10, 5, Millis(2000)});
 	world.clock.RunUntil(Millis(8000));
@@ -319,7 +320,7 @@
 	ledger.Begin(2);
 	const uint64_t lent = ledger.PartsHeld(account);
 	CHECK(lent >= 301000);
-	/* Reported before the grants of the second owner were applied. */
+	/* This report was made before the grants of the second owner were applied, so the parts still count. */
 	ledger.ApplyReport(service, ShareReport{1, 1, 9, 1, {ShareStatement{account, 0, 0}}});
 	CHECK(ledger.PartsHeld(account) == lent);
 	ledger.ApplyReport(service, ShareReport{1, 2, 1, 1, {ShareStatement{account, 100, 100}}});
--- a/tests/test_suspended.cpp
+++ b/tests/test_suspended.cpp
@@ -1,4 +1,4 @@
-/** @file test_suspended.cpp Machines that are suspended for seconds: their timers stop, while all others go on. */
+/** @file test_suspended.cpp Machines that are suspended for seconds: their timers stop, while other machines go on. */
 #include "job_world.h"
 #include "net/qt_scheduler.h"
 
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("an owner whose machine was suspended doesn't renew leases by a claim that has lapsed since")
+TEST_CASE("an owner whose machine was suspended doesn't renew leases under a claim that has lapsed meanwhile")
 {
 	SuspendedOwnerWorld it(true);
 	it.world.clock.RunUntil(Millis(60000));
--- a/tests/test_upkeep.cpp
+++ b/tests/test_upkeep.cpp
@@ -76,7 +76,7 @@
 	size_t drained = 0;
 	std::ranges::for_each(second.drain, [&drained](const auto &it) { drained += it.second.size(); });
 	CHECK(drained == 1);
-	CHECK(second.maintain.empty()); /* it still accepts tasks */
+	CHECK(second.maintain.empty()); /* the drained box still accepts tasks */
 }
 
 TEST_CASE("a box is taken down only once it is empty and gets no more tasks")
