--- a/tests/fold_world.h
+++ b/tests/fold_world.h
@@ -14,7 +14,7 @@
 	 * @param writer Name of the writer.
 	 * @param incarnation Incarnation of the writer.
 	 * @param sequence Sequence number of the proposal; 0 for the next one of this incarnation.
-	 * @return Result code of the decision; RC_MALFORMED if the record gave none.
+	 * @return Result code of the decision; RC_MALFORMED if there is none.
 	 */
 	template <class T>
 	ResultCode Propose(T change, const std::string &writer = "keeper", uint64_t incarnation = 1, uint64_t sequence = 0)
@@ -31,7 +31,7 @@
 		return this->Append(EncodeBatch(batch));
 	}
 
-	/** Appends a record of any bytes. @return Code of its first decision; RC_MALFORMED if it gave none. */
+	/** Appends a record with these bytes. @return Code of its first decision; RC_MALFORMED if there is none. */
 	ResultCode Append(std::string bytes)
 	{
 		this->now = this->now + Millis(10);
@@ -40,7 +40,13 @@
 		return decisions.empty() ? ResultCode::RC_MALFORMED : decisions.front().result.code;
 	}
 
-	/** Publishes table cells against a base version. */
+	/**
+	 * Publishes changes of the table.
+	 * @param cells New values of cells.
+	 * @param base Version of the table that the changes are based on.
+	 * @param removed Names of services to remove.
+	 * @return Result code of the decision.
+	 */
 	ResultCode Publish(const std::vector<CellEdit> &cells, uint64_t base, const std::vector<std::string> &removed = {})
 	{
 		glade::wire::TablePublishT publish;
--- a/tests/test_config_exchange.cpp
+++ b/tests/test_config_exchange.cpp
@@ -1,4 +1,5 @@
-/** @file test_config_exchange.cpp Propagation of configurations to nodes whose requests the store rejects. */
+/** @file test_config_exchange.cpp Propagation of configurations between nodes while the store rejects requests of some
+ * of them. */
 #include "node/config_exchange.h"
 #include "scheduler_type.h"
 
@@ -13,9 +14,9 @@
 constexpr Millis HOP_LATENCY(2);         ///< One-way latency of a message between nodes.
 constexpr Millis READ_LATENCY(5);        ///< Latency of a read from the store.
 constexpr Millis POLL_TIMEOUT(1000);     ///< The store answers a long poll after this time even without a new version.
-constexpr Millis EFFECTIVE_WITHIN(3000); ///< Time after publication by which every node must have a version.
-constexpr Millis REJECTED_FROM(5000);    ///< When the store begins to reject requests of some nodes.
-constexpr Millis REJECTED_UNTIL(14000);  ///< When the store serves all nodes again.
+constexpr Millis EFFECTIVE_WITHIN(3000); ///< Time within which a published version must have reached every node.
+constexpr Millis REJECTED_FROM(5000);    ///< Time from which the store rejects requests of some nodes.
+constexpr Millis REJECTED_UNTIL(14000);  ///< Time from which the store serves all nodes again.
 constexpr size_t PEER_COUNT = 11;        ///< Peers of each node: the nodes that hold partitions, and three seed nodes.
 
 /** The newest configuration in the store. */
@@ -54,7 +55,7 @@
 	}
 
 	bool requests_rejected = false;        ///< Whether the store rejects this node's requests.
-	std::map<uint64_t, Millis> learned_at; ///< When the node got each version.
+	std::map<uint64_t, Millis> learned_at; ///< Time at which the node got each version.
 
 private:
 	VirtualScheduler &clock;          ///< Clock of the simulation.
@@ -148,9 +149,9 @@
 
 	/**
 	 * Schedules publications of new versions.
-	 * @param from Time of the first.
+	 * @param from Time of the first publication.
 	 * @param times Number of versions.
-	 * @param gap Time between two.
+	 * @param gap Time between two versions.
 	 */
 	void Publish(Millis from, size_t times, Millis gap)
 	{
@@ -161,7 +162,7 @@
 	}
 
 	/**
-	 * Lets the store reject a random share of the nodes from REJECTED_FROM to REJECTED_UNTIL.
+	 * Lets the store reject the requests of a random share of the nodes from REJECTED_FROM to REJECTED_UNTIL.
 	 * @param share The share, from 0 to 1.
 	 */
 	void RejectNodes(double share)
@@ -200,9 +201,9 @@
 
 } // namespace
 
-/* Guards against removed keys that still work, and new keys that don't work yet, on nodes that the store rejects for
- * nine seconds while all other nodes have the change within milliseconds. */
-TEST_CASE("config exchange: a version takes effect within three seconds on nodes that the store rejects")
+/* Guards against removed keys that still work, and new keys that don't work yet, on nodes whose requests the
+ * store rejects for nine seconds, while all other nodes have the change within milliseconds. */
+TEST_CASE("config exchange: a version takes effect within three seconds on nodes whose requests the store rejects")
 {
 	for (const uint32_t seed : std::views::iota(1U, 21U)) {
 		CAPTURE(seed);
@@ -232,7 +233,8 @@
 	CHECK(world.LongestPropagation() <= POLL_TIMEOUT);
 }
 
-TEST_CASE("config exchange: an isolated node keeps its version, and gets the newest soon after it is connected again")
+TEST_CASE("config exchange: an isolated node keeps its version, and gets the newest soon after its peers can be "
+		  "reached again")
 {
 	ExchangeWorld world(5, 1, true);
 	ExchangeWorld::Node &isolated = *world.nodes.back();
@@ -253,7 +255,7 @@
 	CHECK(confirmed);
 }
 
-TEST_CASE("config exchange: an older version or an invalid configuration changes nothing")
+TEST_CASE("config exchange: the simulated feed ignores an older version and an invalid configuration")
 {
 	ExchangeWorld world(2, 1, true);
 	world.Publish(Millis(100), 3, Millis(100));
--- a/tests/test_fleet_matrix.cpp
+++ b/tests/test_fleet_matrix.cpp
@@ -11,17 +11,17 @@
 enum class SiteFault : uint8_t {
 	SF_NONE,            ///< No fault.
 	SF_LOG_DOWN,        ///< The log rejects everything for 9 s.
-	SF_LOG_SLOW,        ///< Answers of the log take 1.5 s.
-	SF_ANSWERS_LOST,    ///< The next appends take effect but their answers are lost.
-	SF_REPEATED,        ///< The next appends take effect twice.
-	SF_LIST_LATE,       ///< The list of boxes is not updated any more.
-	SF_LIST_WRONG,      ///< The list of boxes reports a healthy box as down.
+	SF_LOG_SLOW,        ///< Answers of the log take 1.5 s, for 9 s.
+	SF_ANSWERS_LOST,    ///< The next 5 appends of each keeper take effect, but their answers are lost.
+	SF_REPEATED,        ///< The next 20 appends of each keeper take effect twice.
+	SF_LIST_LATE,       ///< The list of boxes is not updated for 9 s.
+	SF_LIST_WRONG,      ///< The list of boxes reports a healthy box as down for 4 s.
 	SF_PLANNER_KILLED,  ///< The planning keeper is killed.
 	SF_PLANNER_PAUSED,  ///< The planning keeper is paused for 10 s and then resumes.
 	SF_KEEPER_REPLACED, ///< A keeper is killed and restarts without its state.
-	SF_ZONE_CUT,        ///< The keepers of a zone are cut off from the log.
-	SF_ORDERS_LOST,     ///< Orders to boxes are lost.
-	SF_BOX_FAILS,       ///< A box fails.
+	SF_ZONE_CUT,        ///< The keepers of a zone are cut off from the log for 9 s.
+	SF_ORDERS_LOST,     ///< The next 6 orders to boxes are lost.
+	SF_BOX_FAILS,       ///< A box fails and is healthy again after 20 s.
 	SF_ENTRY_CUT,       ///< An entry is cut off from its keeper for 9 s.
 	SF_COUNT,           ///< Number of faults.
 };
@@ -39,9 +39,9 @@
 	SS_RETURN,   ///< A box is being verified.
 	SS_MOVE,     ///< Raised floors require boxes to move to another pool.
 	SS_ACCEPT,   ///< Jobs are being accepted.
-	SS_PLACE,    ///< Jobs are placed.
+	SS_PLACE,    ///< Jobs were submitted 1.5 s ago and are being placed.
 	SS_CANCEL,   ///< All jobs are being cancelled.
-	SS_HANDOVER, ///< The planning keeper has been killed.
+	SS_HANDOVER, ///< The planning keeper was killed 5.5 s ago.
 	SS_COUNT,    ///< Number of steps.
 };
 
@@ -198,7 +198,7 @@
 		}
 	}
 
-	/** Cancels all jobs right after the fault if the step asks for it. */
+	/** Cancels all jobs right after the fault if the step is SS_CANCEL. */
 	void CancelJobs()
 	{
 		if (this->step == SiteStep::SS_CANCEL) {
@@ -210,7 +210,8 @@
 		}
 	}
 
-	/** Runs until all boxes were maintained, no job is open and all keepers agree; for at most 180 s. */
+	/** Runs until all boxes have been maintained, no job is waiting or placed and all keepers have the same state; for
+	 * at most 180 s. */
 	void RunUntilSettled()
 	{
 		this->site.RunUntil(
@@ -260,7 +261,8 @@
 		}
 	}
 
-	/** Checks that no accepted job is lost, and that no job that is not repeatable ran twice. */
+	/** Checks that each accepted job is known and no longer waiting or placed, and that jobs that are not repeatable
+	 * were started at most once. */
 	void CheckJobs(const FleetState &fleet) const
 	{
 		for (const auto &it : this->jobs) {
--- a/tests/test_fold.cpp
+++ b/tests/test_fold.cpp
@@ -62,7 +62,7 @@
 } // namespace
 
 TEST_CASE("fold: a repeated append is decided once, an earlier incarnation of a writer is fenced, malformed records "
-		  "change nothing")
+		  "are rejected")
 {
 	FoldWorld world;
 	CHECK(world.Publish({MakeEdit("s", "pool", "p")}, 0) == RC_OK);
@@ -144,7 +144,7 @@
 	other.SetUp(6, "24", "rack");
 	other.Health("b5", BoxHealth::BH_UNKNOWN);
 	CHECK(other.Grant("b0") == RC_BUDGET_FLOOR);
-	CHECK(other.Grant("b5") == RC_OK); /* It takes no work, so draining it costs no capacity. */
+	CHECK(other.Grant("b5") == RC_OK); /* A box of unknown health takes no work, so draining it costs no capacity. */
 }
 
 TEST_CASE("fold: zone and rack budgets limit how many boxes are down at once")
@@ -294,7 +294,7 @@
 	CHECK(world.Propose(MakeReport("a", 1, JobOutcome::JO_LEASE_EXPIRED)) == RC_OK);
 	CHECK(JobStateOf(world, "a") == JobState::JS_UNKNOWN);
 	CHECK(world.Propose(MakePlacement(world, "a", "b1", 2)) == RC_JOB_STATE);
-	CHECK(world.fleet.box_used.at(BoxName("b0")) == 6); /* The box may only be paused, and still run the job. */
+	CHECK(world.fleet.box_used.at(BoxName("b0")) == 6); /* The box may just be paused and still run the job. */
 	CHECK(world.Propose(MakeReport("b", 1, JobOutcome::JO_LEASE_EXPIRED)) == RC_OK);
 	CHECK(JobStateOf(world, "b") == JobState::JS_WAITING);
 	CHECK(world.Propose(MakeReport("b", 1, JobOutcome::JO_DONE)) == RC_JOB_STATE);
@@ -308,7 +308,7 @@
 	CHECK(JobStateOf(world, "b") == JobState::JS_CANCELLED);
 }
 
-TEST_CASE("fold: a job that fails on every box is parked, a box on which every job fails is set aside, and neither "
+TEST_CASE("fold: a job that fails on three boxes is parked, a box on which three jobs fail is set aside, and neither "
 		  "counts against the other")
 {
 	FoldWorld world;
--- a/tests/test_group.cpp
+++ b/tests/test_group.cpp
@@ -18,7 +18,7 @@
  */
 void BootNodes(JobWorld &world, size_t strong, size_t weak)
 {
-	/* The weak nodes start first and have the lower names: neither may matter. */
+	/* The weak nodes start first and have the lower names: neither may influence who is eligible. */
 	for (size_t n = 0; n < weak; n++) {
 		world.Boot("a-weak-" + std::to_string(n), WEAK_MILLICORES);
 	}
@@ -27,7 +27,7 @@
 	}
 }
 
-/** @return Report of a box on which the owner of "calc" has placed a task. @param owner Node that owns "calc". */
+/** @return Report of a box on which the owner of "calc" has placed tasks. @param owner The owner's node. */
 BoxReport ReportOfBoxWithTasks(WorldNode &owner)
 {
 	const auto &boxes = owner.host.Find(ServiceName("calc"))->Running()->Boxes();
@@ -98,7 +98,7 @@
 	}
 }
 
-TEST_CASE("with only one or two strong nodes all nodes are eligible")
+TEST_CASE("with only two strong nodes all nodes are eligible")
 {
 	JobWorld world(0);
 	BootNodes(world, 2, 4);
@@ -154,7 +154,7 @@
 		owner->host.Clear();
 		owner->member.Leave([] {});
 	}
-	/* The last of them may have renewed leases until 14 s, so they end 4.5 s / 0.98 after its successor's claim. */
+	/* The last of them may have renewed leases until 14 s, so the leases end 4.5 s / 0.98 after the next claim. */
 	world.clock.RunUntil(Millis(19500));
 	CHECK(world.site.Running(job.spec.id) == 3);
 	CHECK(world.site.violations == std::vector<std::string>{});
@@ -272,13 +272,13 @@
 	}
 }
 
-/* Guards against a weak node that keeps a queue which it got after it became a standby node. Its claim was under way at
- * that moment and was answered 12 ms later. Only answers to joins made a node hand over its shards, and a standby node
- * does not join any more, so the weak node kept the queue, and one class of requests got a sixth of its due service. */
+/* Guards against a weak node that keeps a queue although it is a standby node. Its claim was under way when it became
+ * one and was answered 12 ms later. Only answers to joins made a node hand over its shards, and a standby node does not
+ * join any more, so the weak node kept the queue, and one class of requests got a sixth of its due service. */
 TEST_CASE(
 		"a weak node hands over a shard that it got just after it became a standby node, whenever strong nodes return")
 {
-	constexpr int64_t OUTAGE_FIRST_MS = 1800; /* by then weak nodes have joined and begin to claim */
+	constexpr int64_t OUTAGE_FIRST_MS = 1800; /* By then, weak nodes have joined and begin to claim. */
 	constexpr int64_t OUTAGE_LAST_MS = 3400;
 	constexpr int64_t OUTAGE_STEP_MS = 40;
 	for (int64_t outage_ms = OUTAGE_FIRST_MS; outage_ms <= OUTAGE_LAST_MS; outage_ms += OUTAGE_STEP_MS) {
--- a/tests/test_http_codec.cpp
+++ b/tests/test_http_codec.cpp
@@ -104,9 +104,9 @@
 	CHECK_FALSE(reader.HasPartialRequest());
 }
 
-TEST_CASE("ambiguous requests are rejected")
+TEST_CASE("ambiguous and malformed requests are rejected with status 400")
 {
-	const std::vector<std::string> ambiguous_requests = {
+	const std::vector<std::string> bad_requests = {
 			"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 			"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n",
 			"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
@@ -124,12 +124,12 @@
 			"GET  / HTTP/1.1\r\nHost: x\r\n\r\n",
 			"GET / HTTP/2.0\r\nHost: x\r\n\r\n",
 	};
-	for (const std::string &ambiguous : ambiguous_requests) {
+	for (const std::string &bad_request : bad_requests) {
 		for (const size_t piece : {size_t{1}, size_t{4096}}) {
-			CAPTURE(ambiguous);
+			CAPTURE(bad_request);
 			CAPTURE(piece);
 			RequestReader reader(HttpLimits{});
-			CHECK(Feed(reader, ambiguous, piece) == ParseProgress::PR_BAD);
+			CHECK(Feed(reader, bad_request, piece) == ParseProgress::PR_BAD);
 			CHECK(HttpStatusOf(reader.Error()) == 400);
 		}
 	}
--- a/tests/test_http_line.cpp
+++ b/tests/test_http_line.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-const std::string OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"; ///< The connection stays open.
+const std::string OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"; ///< Keeps its connection open.
 
 /** Runs the event loop until a condition holds, for at most 3 s. @param done The condition. */
 template <class Done>
@@ -31,7 +31,7 @@
 	loop.exec();
 }
 
-/** Answers each request with fixed bytes and keeps track of its connections. */
+/** Answers each request with the same bytes and keeps track of its connections. */
 class FixedResponseServer {
 public:
 	explicit FixedResponseServer(std::string answer) : answer(std::move(answer))
@@ -52,9 +52,9 @@
 		}));
 	}
 
-	std::string answer;                        ///< Bytes sent when a request is complete.
+	std::string answer;                        ///< Bytes sent as an answer.
 	std::string received;                      ///< All bytes received.
-	size_t request_bytes = 1;                  ///< Bytes after which a request is complete.
+	size_t request_bytes = 1;                  ///< The answer is sent once this many bytes were received in all.
 	bool close_after_answer = false;           ///< Whether connections are closed after the answer.
 	std::vector<QPointer<QTcpSocket>> sockets; ///< All connections accepted so far.
 
--- a/tests/test_keeper.cpp
+++ b/tests/test_keeper.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("keeper: an entry whose keeper dies gets its lease from another keeper and is not reported as lapsed")
+TEST_CASE("keeper: an entry whose keeper dies gets its lease from another keeper and stays a member")
 {
 	FleetSite site;
 	site.SetUp();
@@ -70,7 +70,7 @@
 	CHECK(entry.keeper->core.counters.leases_refused > 0);
 }
 
-TEST_CASE("keeper: no drain, move or reboot in a zone that is cut off; maintenance continues elsewhere")
+TEST_CASE("keeper: no box of a zone that is cut off is emptied, moved or rebooted; maintenance continues elsewhere")
 {
 	FleetSite site;
 	site.SetUp();
@@ -80,8 +80,8 @@
 	site.Run(Millis(30000));
 	const FleetState &fleet = site.AnyKeeper().core.State();
 	for (const auto &[name, box] : fleet.boxes) {
-		const bool untouched = box.state == BoxState::BS_SERVING || box.state == BoxState::BS_DRAINING;
-		CHECK((box.zone == ZoneName("zone-a") || untouched));
+		const bool not_emptied = box.state == BoxState::BS_SERVING || box.state == BoxState::BS_DRAINING;
+		CHECK((box.zone == ZoneName("zone-a") || not_emptied));
 	}
 	CHECK(site.platform.reboots.size() > 0);
 	CHECK(site.violations.empty());
@@ -110,7 +110,7 @@
 	CHECK(site.violations.empty());
 }
 
-TEST_CASE("keeper: concurrent edits of different cells merge; of two edits of one cell the first wins")
+TEST_CASE("keeper: concurrent edits of different cells merge; of two edits of one cell only one is accepted")
 {
 	FleetSite site;
 	site.SetUp();
@@ -129,7 +129,7 @@
 	CHECK(rejected->message.find("loses to") != std::string::npos);
 }
 
-TEST_CASE("keeper: an operator gets accepted, rejected or unknown as the outcome, and can query it later")
+TEST_CASE("keeper: an edit whose answers are lost takes effect, and its outcome can be queried later if it was unknown")
 {
 	FleetSite site;
 	site.SetUp();
--- a/tests/test_log.cpp
+++ b/tests/test_log.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("log: group commit writes the proposals of a tick in one append")
+TEST_CASE("log: group commit writes 200 proposals of a tick in at most three appends")
 {
 	VirtualScheduler clock(Millis(1700000000000));
 	LogStore store(LogLimits{});
@@ -80,7 +80,7 @@
 
 TEST_CASE("log: an append that had no effect and whose answer is lost is sent again")
 {
-	/* A log that drops the first two appends and answers that their outcome is unknown. */
+	/* Drops the first two appends and reports their outcome as unknown. */
 	class DroppingLog : public MemoryLog {
 	public:
 		using MemoryLog::MemoryLog;
@@ -92,7 +92,7 @@
 			}
 			MemoryLog::Append(std::move(bytes), std::move(done));
 		}
-		int drops = 2; ///< Appends still dropped.
+		int drops = 2; ///< Number of next appends to drop.
 	};
 	VirtualScheduler clock(Millis(1700000000000));
 	LogStore store(LogLimits{});
--- a/tests/test_other_writer.cpp
+++ b/tests/test_other_writer.cpp
@@ -124,7 +124,7 @@
 		store.Append(REPORT_PARTITION, {KeyedRecord{incarnation, bytes}}, AppendCondition{});
 		clock.RunUntil(clock.Now() + Millis(1000));
 	};
-	/* Records from before the first page is read, then records from after it. */
+	/* The first records are there before the first page is read; the others come later. */
 	store.Append(REPORT_PARTITION,
 				 {KeyedRecord{"x-1", "\xff\xfe"}, KeyedRecord{"i-1", ToBytes(MakeReport("10.0.0.1:80"))}},
 				 AppendCondition{});
@@ -154,14 +154,14 @@
 	std::ranges::for_each(world.nodes, [&report](const auto &it) { it->host.OnReport(report); });
 	const WorldJob &job = world.Plan(Millis(100), "calc", JobWorld::Lasting(4));
 	world.clock.RunUntil(Millis(6000));
-	/* One task fits on a box, and three boxes are left. */
+	/* One task fits on a box, and three boxes still report the service. */
 	CHECK(world.site.Running(job.spec.id) == 3);
 	CHECK(world.site.violations == std::vector<std::string>{});
 }
 
 TEST_CASE("a malformed record does not hide the records behind it")
 {
-	std::string bytes("\0\0\0\0", 4);                /* no bytes */
+	std::string bytes("\0\0\0\0", 4);                /* a record without bytes */
 	bytes += std::string("\0\0\0\2\x09q", 6);        /* a key longer than the record */
 	bytes += EncodeRecords({KeyedRecord{"k", "v"}}); /* valid */
 	std::vector<KeyedRecord> records;
--- a/tests/test_owner_headroom.cpp
+++ b/tests/test_owner_headroom.cpp
@@ -27,9 +27,9 @@
 constexpr double ORDER_COST_US = 50;        ///< An order to a box, including the handling of its answer.
 constexpr double BOX_VISIT_COST_US = 0.1;   ///< A box visited in a scan.
 constexpr double TASK_VISIT_COST_US = 0.37; ///< A task visited in a scan.
-/** Limit for the cost of a run, in microseconds: 4,000 runs a second then take half of the half core. */
+/** Limit for the cost of a run, in microseconds: at this cost, 4,000 runs a second take half of the half core. */
 constexpr double RUN_COST_LIMIT_US = 60;
-constexpr double SCAN_SHARE_MAX = 0.1; ///< Share of this limit that scans of boxes and tasks may take.
+constexpr double SCAN_SHARE_MAX = 0.1; ///< Share of RUN_COST_LIMIT_US that scans of boxes and tasks may take.
 
 /** Simulates a queue's peak with a single owner. */
 class PeakWorld {
@@ -50,7 +50,8 @@
 			step.estimate = RUN_TIME;
 			this->world.Plan(Millis(n * PEAK_DURATION.Value() / jobs), "calc", {step}, RUN_TIME);
 		}
-		/* Jobs completed by then were on time, or late only by the wait for their record. */
+		/* The last jobs are due now, so only those of them that were on time are completed; earlier ones may have been
+		 * late. */
 		this->world.clock.RunUntil(PEAK_FROM + PEAK_DURATION + OBJECTIVE);
 	}
 
@@ -73,8 +74,9 @@
 
 private:
 	double core_share;  ///< Share of a core that the owner has.
-	ShardCounters last; ///< Counters at the last charge.
+	ShardCounters last; ///< Counters at the last call of Cost().
 
+	/** @return Time that the owner needed for its work since the last call, in microseconds. */
 	double Cost()
 	{
 		const ShardCounters &now = this->Counters();
@@ -101,35 +103,35 @@
  * cost 150 us. At 50 us, an owner is busy for 78% of its time at 4,100 starts and 3,800 lease orders a second. */
 TEST_CASE("an owner with half a core keeps up with the peak of a queue of 600 boxes")
 {
-	PeakWorld uncharged(std::nullopt);
-	PeakWorld charged(HALF_CORE);
-	CAPTURE(charged.Counters().starts);
-	CAPTURE(charged.Counters().looks);
-	CAPTURE(charged.Counters().rounds);
+	PeakWorld without_cost(std::nullopt);
+	PeakWorld with_cost(HALF_CORE);
+	CAPTURE(with_cost.Counters().starts);
+	CAPTURE(with_cost.Counters().looks);
+	CAPTURE(with_cost.Counters().rounds);
 	/* As many jobs as when the owner's work takes no time, within 0.03. */
-	CHECK(charged.CompletedShare() >= uncharged.CompletedShare() - 0.03);
-	CHECK(charged.world.site.violations == std::vector<std::string>{});
+	CHECK(with_cost.CompletedShare() >= without_cost.CompletedShare() - 0.03);
+	CHECK(with_cost.world.site.violations == std::vector<std::string>{});
 }
 
 TEST_CASE("an owner with half a core keeps up with the peak on processors that are 2.5 times slower")
 {
-	PeakWorld uncharged(std::nullopt);
-	PeakWorld charged(HALF_CORE / CPU_SLOWDOWN);
-	CAPTURE(charged.Counters().starts);
-	CAPTURE(charged.Counters().looks);
-	CAPTURE(charged.Counters().rounds);
-	CHECK(charged.CompletedShare() >= uncharged.CompletedShare() - 0.03);
-	CHECK(charged.world.site.violations == std::vector<std::string>{});
+	PeakWorld without_cost(std::nullopt);
+	PeakWorld with_cost(HALF_CORE / CPU_SLOWDOWN);
+	CAPTURE(with_cost.Counters().starts);
+	CAPTURE(with_cost.Counters().looks);
+	CAPTURE(with_cost.Counters().rounds);
+	CHECK(with_cost.CompletedShare() >= without_cost.CompletedShare() - 0.03);
+	CHECK(with_cost.world.site.violations == std::vector<std::string>{});
 }
 
 /* Guards against load that grows with the delay: an overloaded owner sent a lease order for each single ended run,
  * which delayed it further. */
 TEST_CASE("an overloaded owner sends no more lease orders than one that has time")
 {
-	PeakWorld uncharged(std::nullopt);
-	PeakWorld charged(HALF_CORE / CPU_SLOWDOWN);
-	CAPTURE(uncharged.Counters().looks);
-	CHECK(charged.Counters().looks <= uncharged.Counters().looks);
+	PeakWorld without_cost(std::nullopt);
+	PeakWorld with_cost(HALF_CORE / CPU_SLOWDOWN);
+	CAPTURE(without_cost.Counters().looks);
+	CHECK(with_cost.Counters().looks <= without_cost.Counters().looks);
 }
 
 TEST_CASE("an owner of 600 boxes spends at most a tenth of the cost limit of a run on scans")
--- a/tests/test_owner_missed.cpp
+++ b/tests/test_owner_missed.cpp
@@ -1,14 +1,14 @@
 /** @file test_owner_missed.cpp An owner that the group drops for a moment while it goes on recording.
  *
- * Guards against changes of owners that only lost join calls cause. While a third of the log's calls get no answer for
- * 4.5 s, members whose joins are lost three times in a row are dropped from the group and come back a moment later, at
- * first without a partition. Each of them handed over what it owned, and other nodes claimed shards that seemed to have
- * no owner, with claims that got lost, too: four queues and the fleet changed owners eight times in 6 s, and one queue
- * had no owner for 4 s. At the next queue's peak no owner could say which boxes were empty, so none was moved, and 28
- * boxes served the peak for five seconds.
+ * Guards against shards that change owners only because join calls were lost. While a third of the log's calls get no
+ * answer for 4.5 s, members whose joins are lost three times in a row are dropped from the group and come back a moment
+ * later, at first without a partition. Each of them handed over what it owned, and other nodes claimed shards that
+ * seemed to have no owner, with claims that got lost, too: four queues and the fleet changed owners eight times in 6 s,
+ * and one queue had no owner for 4 s. At the peak of another queue no owner could say which boxes were empty, so none
+ * was moved, and 28 boxes served the peak for five seconds.
  *
- * Membership alone decided whether an owner was alive, at the owner itself and at claiming nodes: these checked whether
- * its partition grew, but only for 0.2 s, and owners write their own record every 0.5 to 1 s.
+ * Membership alone decided whether an owner was alive, at the owner itself and at claiming nodes. Claiming nodes also
+ * checked whether the owner's partition grew, but only for 0.2 s, while owners write their own record every 0.5 to 1 s.
  */
 #include "job_world.h"
 
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr Millis SETTLED(3000);           ///< Time by which all shards have owners.
-constexpr Millis JOINS_LOST_FOR(4000);    ///< How long its joins are lost: twice the time after which it is dropped.
+constexpr Millis JOINS_LOST_FOR(4000);    ///< How long joins are lost: twice the time after which a member is dropped.
 constexpr Millis CHECK_INTERVAL(50);      ///< Interval at which the owner is checked.
 constexpr Millis SLOW_STORE_LATENCY(240); ///< One-way latency of a store that is sixty times slower.
 
--- a/tests/test_owner_work.cpp
+++ b/tests/test_owner_work.cpp
@@ -32,7 +32,7 @@
 			node->host.OnReportRemoved(BoxId(box + "-life0"));
 		}
 	}
-	world.clock.RunUntil(Millis(5000)); /* Orders in flight end. */
+	world.clock.RunUntil(Millis(5000)); /* Lets orders in flight end. */
 	const uint64_t orders = shard->Counters().looks;
 	world.clock.RunUntil(Millis(9000));
 	CHECK(shard->Counters().looks == orders);
@@ -59,7 +59,7 @@
 		world.unlisted.insert(BoxName("calc-box" + std::to_string(n)));
 		owner->host.OnReportRemoved(BoxId("calc-box" + std::to_string(n) + "-life0"));
 	}
-	/* The order that acknowledges them waits up to a second for another ended run. */
+	/* The lease order that acknowledges the ended runs waits up to a second for another one. */
 	world.clock.RunUntil(Millis(4500));
 	for (const auto &[incarnation, box] : shard->Boxes()) {
 		CHECK(box.ends_acknowledged == box.ends_seen);
--- a/tests/test_partition_claim.cpp
+++ b/tests/test_partition_claim.cpp
@@ -3,7 +3,7 @@
  * Guards against two owners with the same fencing token. After a power failure of all nodes, the previous owner of a
  * shard restarts and claims it again, while the node that the group assigned the partition to finds no owner and claims
  * it, too. Both have read the same records, so both try the next epoch. The log takes the second claim for a repeat of
- * the first one if producer, epoch and sequence number are the same, and gives it the first answer, whatever its
+ * the first one if producer, epoch and sequence number are the same, and answers it like the first, whatever its
  * condition says. The two owners then start the same tasks (two runs at once), or each waits for the other's records
  * (tasks that never run).
  */
@@ -49,7 +49,7 @@
 	VirtualScheduler clock{Millis(1700000000000)};
 	KeyedStore store(12);
 	Claimer lossy(clock, store, "10.0.0.1:7060");
-	lossy.log.faults.lose_every = 2; /* Loses the answer to the append that fences the second partition. */
+	lossy.log.faults.lose_every = 2; /* Loses the answer to the second append, which fences the spare partition. */
 	while (!lossy.claimed && clock.Now() < Millis(5000)) {
 		clock.RunUntil(clock.Now() + Millis(10));
 	}
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -182,14 +182,15 @@
 
 	int callbacks = 0; ///< How often the callback was called.
 	HttpReply reply;   ///< The last reply.
-	size_t open = 0;   ///< Calls that had not ended with the loop.
+	size_t open = 0;   ///< Calls that were still open when the loop ended.
 };
 
 } // namespace
 
 TEST_CASE("a call whose answer and timeout are due in the same iteration is reported once")
 {
-	/* In the iteration after the pause the socket is readable and the timeout is due: sockets come before timers. */
+	/* In the iteration after the pause the socket is readable and the timeout is due. Sockets are handled before
+	 * timers. */
 	const BlockedCall call(150, 500, 700);
 	CHECK(call.open == 0);
 	CHECK(call.callbacks == 1);
@@ -197,7 +198,7 @@
 
 TEST_CASE("a timeout that is noticed late waits for answers that the blocked process could not read")
 {
-	/* Due at 0.3 s, noticed at 1.25 s, answered at 1.4 s: an order that is given up before would be sent again. */
+	/* Due at 0.3 s, noticed at 1.25 s, answered at 1.4 s: an order that was given up earlier would be sent again. */
 	const BlockedCall call(1400, 1200, 2600);
 	CHECK(call.callbacks == 1);
 	CHECK(static_cast<int>(call.reply.result) == static_cast<int>(CallResult::CR_ANSWERED));
@@ -208,9 +209,9 @@
 	JobWorld world(1);
 	WorldNode &node = *world.nodes.front();
 	world.clock.RunUntil(Millis(3000));
-	Millis paused(-1000000);
+	Millis paused_at(-1000000);
 	JobHttpHandler handler(
-			node.scheduler, node.job_api, node.feed, [&paused] { return paused; },
+			node.scheduler, node.job_api, node.feed, [&paused_at] { return paused_at; },
 			[](const std::function<void(bool)> &done) { done(true); }, node.events);
 	CallerRequest request;
 	request.method = "POST";
@@ -220,7 +221,7 @@
 	StatusSink before;
 	handler.Serve(before, request);
 	CHECK(before.status == 404);
-	paused = world.clock.Now();
+	paused_at = world.clock.Now();
 	StatusSink after;
 	const auto served = handler.Serve(after, request);
 	JobConfig newer = world.config;
--- a/tests/test_random_history.cpp
+++ b/tests/test_random_history.cpp
@@ -1,5 +1,4 @@
-/** @file test_random_history.cpp Invariants of the fleet state under random histories of several writers, with
- * RapidCheck. */
+/** @file test_random_history.cpp Invariants of the fleet state under random histories of commands, with RapidCheck. */
 #include "fold_world.h"
 
 #include "fleet/budget_func.h"
@@ -12,13 +11,13 @@
 
 namespace {
 
-/** One random action of a writer. */
+/** One random command, with its arguments. */
 struct RandomAction {
-	uint8_t kind = 0;         ///< Selects the command.
-	uint8_t box = 0;          ///< Number of the box; outcome of a job report.
-	uint8_t extra = 0;        ///< Selects the command's arguments.
-	uint8_t writer = 0;       ///< Selects the planner term: the current one if even, a wrong one if odd.
-	bool repeat_last = false; ///< Whether the last record is appended again before.
+	uint8_t kind = 0;          ///< Selects the command.
+	uint8_t box = 0;           ///< Number of the box; outcome of a job report.
+	uint8_t extra = 0;         ///< Selects the command's arguments.
+	uint8_t term_selector = 0; ///< Selects the planner term: the current one if even, a wrong one if odd.
+	bool repeat_last = false;  ///< Whether the last record is appended again before the command.
 };
 
 rc::Gen<RandomAction> AnyAction()
@@ -26,7 +25,7 @@
 	return rc::gen::build<RandomAction>(
 			rc::gen::set(&RandomAction::kind, rc::gen::inRange<uint8_t>(0, 10)),
 			rc::gen::set(&RandomAction::box, rc::gen::inRange<uint8_t>(0, 8)), rc::gen::set(&RandomAction::extra),
-			rc::gen::set(&RandomAction::writer, rc::gen::inRange<uint8_t>(0, 4)),
+			rc::gen::set(&RandomAction::term_selector, rc::gen::inRange<uint8_t>(0, 4)),
 			rc::gen::set(&RandomAction::repeat_last, rc::gen::weightedElement<bool>({{4, false}, {1, true}})));
 }
 
@@ -37,7 +36,7 @@
 	if (action.repeat_last) {
 		world.Append(world.log.back().bytes);
 	}
-	world.term = action.writer % 2 == 0 ? 1 : 7;
+	world.term = action.term_selector % 2 == 0 ? 1 : 7;
 	switch (action.kind) {
 	case 0:
 		world.Grant(box, PermitPurpose::PP_MAINTAIN, "", action.extra % 5 == 0);
@@ -101,7 +100,7 @@
 		}
 		const auto old = before.jobs.find(name);
 		if (old != before.jobs.end() && !job.repeatable) {
-			/* Placed again only if the run certainly did not happen or was stopped at a checkpoint. */
+			/* It is placed again only after a report that its run did not happen or was stopped at a checkpoint. */
 			RC_ASSERT(!(old->second.state == JobState::JS_UNKNOWN && job.state == JobState::JS_PLACED));
 		}
 	}
--- a/tests/test_refusing_store.cpp
+++ b/tests/test_refusing_store.cpp
@@ -14,7 +14,7 @@
 constexpr Millis CALLER_WAIT(3000);    ///< Deadline of a caller, from its submission.
 constexpr Millis PROMPT_WITHIN(400);   ///< A rejection within this time leaves its caller time to retry.
 
-/** Result that a caller got. */
+/** Result of a submission. */
 struct SubmitResult {
 	std::optional<ResultCode> code; ///< Result code; nullopt before there is one.
 	Millis took;                    ///< Time from the submission to the result.
@@ -25,7 +25,7 @@
  * @param world The simulation.
  * @param node Node to submit it to.
  * @param job The job.
- * @param result Receives the result; must live until then.
+ * @param result Receives the result; must live until it is set.
  */
 void SubmitOnce(JobWorld &world, WorldNode &node, const WorldJob &job, SubmitResult &result)
 {
--- a/tests/test_request_matrix.cpp
+++ b/tests/test_request_matrix.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** What disrupts a request at a step, apart from the endpoints. */
+/** What disrupts a request at a step, apart from the behavior of endpoints. */
 enum class Disruption : uint8_t {
 	DR_NONE,              ///< No disruption.
 	DR_CALLER_LEAVES,     ///< The caller closes its connection.
@@ -17,7 +17,7 @@
 	DR_ENTRY_REPLACED,    ///< The entry is killed, and one without its state takes its place.
 	DR_BOX_DRAINS,        ///< All boxes but one are drained.
 	DR_PEERS_CUT,         ///< The entry is cut off from its peers.
-	DR_LEASE_LAPSES,      ///< The keeper does not renew the lease of the entry any more.
+	DR_LEASE_LAPSES,      ///< The entry's lease is no longer renewed.
 	DR_RETRY_OTHER_ENTRY, ///< The caller sends the same key to the other entry as well.
 	DR_COUNT,             ///< Number of disruptions.
 };
@@ -26,7 +26,7 @@
 											 "entry_stops", "entry_replaced", "box_drains",
 											 "peers_cut",   "lease_lapses",   "retry_there"};
 
-/** Step of the request at which the disruption comes. */
+/** Step of the request at which it is disrupted. */
 struct StepAt {
 	const char *name; ///< Name in test output.
 	Millis at;        ///< Time since the request was sent.
@@ -83,14 +83,14 @@
 private:
 	EndpointBehavior behavior;          ///< Behavior of the endpoints.
 	Disruption disruption;              ///< Disruption of the request.
-	StepAt step;                        ///< Step at which it comes.
+	StepAt step;                        ///< Step at which it is disrupted.
 	RequestKind kind;                   ///< Kind of request.
 	RequestWorld world;                 ///< The simulation.
 	std::string key;                    ///< Idempotency key; empty if none.
 	CallerProbe *first = nullptr;       ///< The first submission.
 	std::vector<CallerProbe *> retries; ///< Later submissions with the same key.
 
-	/** @return A new key whose owner is the entry that the kind names. */
+	/** @return A new key that is owned by the entry with the index RequestKind::owner. */
 	std::string NewOwnedKey()
 	{
 		const EntryNode &owner = *this->world.entries[this->kind.owner];
@@ -155,7 +155,8 @@
 		this->world.PublishViews();
 	}
 
-	/** Checks that an answer is its own and complete, or visibly broken, and that "not run" is true. */
+	/** Checks that an answer belongs to its request and is complete, or is visibly broken, and that a request reported
+	 * as not run did not run. */
 	void CheckAnswer(const CallerProbe &probe) const
 	{
 		if (probe.SaysNotRun()) {
--- a/tests/test_request_path.cpp
+++ b/tests/test_request_path.cpp
@@ -19,7 +19,7 @@
 	CHECK(world.RunsOf("first") + world.RunsOf("second") == 1);
 	const CallerProbe &other = world.Submit(*world.entries[1], "POST", "other", key, "/misting/off");
 	world.Run(Millis(100));
-	CHECK(other.Code() == 2309);
+	CHECK(other.Code() == 2309); /* RC_KEY_OTHER_REQUEST */
 }
 
 TEST_CASE("keys: accounts do not share keys")
@@ -55,11 +55,11 @@
 		return probe.Code();
 	};
 	const int64_t now = world.clock.WallNow().Value();
-	CHECK(code_of("no-time") == 2301);
+	CHECK(code_of("no-time") == 2301); /* RC_KEY_MALFORMED */
 	CHECK(code_of(std::to_string(now + 60000) + "-x") == 2301);
 	/* The key is older than this entry, so its request may have run, and the code says so. */
 	const int old = code_of(std::to_string(now - 11 * 60000) + "-x");
-	CHECK((old == 2302 || old == 2303));
+	CHECK((old == 2302 || old == 2303)); /* RC_KEY_EXPIRED or RC_KEY_BEFORE_TAKEOVER */
 	CHECK(KeyIssueTime("018bcfe5-6800-7abc-8def-0123456789ab").value().Value() == 0x018bcfe56800);
 	CHECK_FALSE(KeyIssueTime("018bcfe5-6800-4abc-8def-0123456789ab").has_value());
 }
@@ -72,7 +72,7 @@
 	const CallerProbe &keyed = world.Submit(*world.entries[0], "POST", "keyed", world.NewKey("k"));
 	const CallerProbe &plain = world.Submit(*world.entries[0], "POST", "plain");
 	world.Run(Millis(100));
-	CHECK(keyed.Code() == 2308);
+	CHECK(keyed.Code() == 2308); /* RC_KEY_LEASE_LAPSED */
 	CHECK(keyed.SaysNotRun());
 	CHECK(world.RunsOf("keyed") == 0);
 	CHECK(plain.head.status == 200);
@@ -87,15 +87,15 @@
 		keys.push_back(world.NewKey(std::to_string(i)));
 	}
 	world.AddEntry("entry-9", "zone-a");
-	int refused = 0;
+	int rejected_keys = 0;
 	for (const std::string &key : keys) {
 		const CallerProbe &probe = world.Submit(*world.entries[0], "POST", key, key);
 		world.Run(Millis(10));
-		refused += probe.Code() == 2303 ? 1 : 0;
+		rejected_keys += probe.Code() == 2303 ? 1 : 0; /* RC_KEY_BEFORE_TAKEOVER */
 	}
 	/* A quarter of the keys moved to the fourth entry. */
-	CHECK(refused > 25);
-	CHECK(refused < 75);
+	CHECK(rejected_keys > 25);
+	CHECK(rejected_keys < 75);
 	world.Run(Millis(10000));
 	for (int i = 0; i < 50; i++) {
 		const std::string key = world.NewKey("later" + std::to_string(i));
@@ -172,7 +172,7 @@
 	for (int i = 0; i < 200; i++) {
 		const CallerProbe &probe = world.Submit(*world.entries[0], "POST", "p" + std::to_string(i));
 		world.Run(Millis(10));
-		broken += probe.Code() == 2201 ? 1 : 0;
+		broken += probe.Code() == 2201 ? 1 : 0; /* RC_ENDPOINT_BROKE */
 	}
 	CHECK(broken <= 8);
 	for (auto &[address, endpoint] : world.endpoints) {
@@ -202,9 +202,10 @@
 	for (int i = 0; i < 400; i++) {
 		probes.push_back(&world.Submit(*world.entries[0], "POST", "p" + std::to_string(i)));
 	}
-	const auto late = std::ranges::count_if(
+	/* RC_CANNOT_BE_ON_TIME or RC_QUEUE_FULL. */
+	const auto rejected_count = std::ranges::count_if(
 			probes, [](const CallerProbe *it) { return it->Code() == 2102 || it->Code() == 2101; });
-	CHECK(late > 0);
+	CHECK(rejected_count > 0);
 	for (const CallerProbe *probe : probes) {
 		if (probe->ended) {
 			CHECK(probe->SaysNotRun());
@@ -282,6 +283,6 @@
 	endpoint.behavior = EndpointBehavior::EB_READ_CLOSE;
 	const CallerProbe &probe = world.Submit(*world.entries[0], "GET", "get");
 	world.Run(Millis(5000));
-	CHECK(probe.Code() == 2201);
+	CHECK(probe.Code() == 2201); /* RC_ENDPOINT_BROKE */
 	CHECK(endpoint.runs.size() <= 3);
 }
--- a/tests/test_silent_connection.cpp
+++ b/tests/test_silent_connection.cpp
@@ -197,7 +197,8 @@
 	CHECK(it.request_count == 2);
 }
 
-TEST_CASE("an owner that records for long, but responds, is not sent the record again, so its rejection is certain")
+TEST_CASE("an owner that records for a long time, but responds, is not sent the record again, so its rejection is "
+		  "certain")
 {
 	std::optional<MessageUnion> record;
 	FrameLink *from = nullptr;
@@ -225,7 +226,7 @@
 }
 
 /* Guards against requests that multiply when their owner is slow: each was repeated every 250 ms over a new connection,
- * so the answers, 400 ms late, found theirs closed, and no caller got one. */
+ * so the answers, 400 ms late, came when their connections were closed already, and no caller got one. */
 TEST_CASE("an owner that answers late is not asked repeatedly, and its answers arrive")
 {
 	constexpr size_t QUESTIONS = 8;
--- a/tests/test_silent_partition.cpp
+++ b/tests/test_silent_partition.cpp
@@ -1,11 +1,11 @@
 /** @file test_silent_partition.cpp A partition of the log does not respond for some seconds, while all others do.
  *
- * Guards against a partition of the log that is a queue's single point of failure. When a fifth of the partitions do
- * not respond for 6 s, among them the one to which the owner of a queue writes, its append is repeated once a second
- * until the partition responds again. The owner places no tasks while an append is under way, although new jobs still
- * arrive through the inbox. At the queue's peak, jobs with 1,235,650 thousandths of a core were waiting afterwards and
- * ran late, over 9 s, so that the queue earned 0.16 to 0.37 of their value instead of 0.40. Such a fault cost 0.21 of
- * the value, other faults 0.07 at most.
+ * Guards against a partition of the log that is a queue's single point of failure. Before owners had spare
+ * partitions, a fifth of the partitions did not respond for 6 s, among them the one to which the owner of a queue
+ * wrote, and its append was repeated once a second until the partition responded again. The owner placed no tasks while
+ * the append was under way, although new jobs still arrived through the inbox. At the queue's peak, jobs with a demand
+ * of 1,235,650 thousandths of a core were waiting afterwards and ran late, over 9 s, so that the queue earned 0.16 to
+ * 0.37 of their value instead of 0.40. Such a fault cost 0.21 of the value, other faults 0.07 at most.
  */
 #include "job_world.h"
 
@@ -18,7 +18,7 @@
 constexpr Millis SETTLED(3000);         ///< Time by which all shards have owners.
 constexpr Millis OUTAGE(6000);          ///< Duration of the fault.
 constexpr Millis SUBMIT_INTERVAL(500);  ///< Interval at which jobs are submitted.
-constexpr Millis COMPLETE_WITHIN(2000); ///< Each job must complete within this: two steps of 0.3 s, and the detour.
+constexpr Millis COMPLETE_WITHIN(2000); ///< Limit for each job: two steps of 0.3 s, and the switch of partitions.
 const PartitionId JOURNAL{"keyed.jobs.calc", 0}; ///< Partition to which the owner of "calc" writes.
 
 /**
@@ -78,7 +78,7 @@
 	CHECK(world.ViewOf(done).phase == JobPhase::JP_COMPLETED);
 	CHECK(world.ViewOf(cancelled).phase == JobPhase::JP_CANCELLED);
 	CHECK(world.ViewOf(unfinished).phase == JobPhase::JP_COMPLETED);
-	/* Only the last step of the running job starts: nothing that had ended runs again. */
+	/* Only the last step of the unfinished job starts: nothing that had ended runs again. */
 	CHECK(world.site.starts == starts + 1);
 	CHECK(world.site.violations == std::vector<std::string>{});
 }
--- a/tests/test_slots.cpp
+++ b/tests/test_slots.cpp
@@ -28,9 +28,9 @@
 	/** An entry with its broker. */
 	struct Node {
 		MemberName name;                    ///< Its name.
-		std::unique_ptr<RouteTable> routes; ///< Its gates.
+		std::unique_ptr<RouteTable> routes; ///< Its route table, which has its gates.
 		std::unique_ptr<SlotBroker> broker; ///< Its broker.
-		bool dead = false;                  ///< Whether it gets no messages and no views any more.
+		bool dead = false;                  ///< Whether it has died: it gets no messages and no views.
 	};
 
 	/** Sends all live entries a view. @param members Numbers of the entries in it. */
@@ -82,8 +82,8 @@
 				this->held[node] += answer.code == ResultCode::RC_OK ? 1 : 0;
 			};
 			SlotRequestId id;
-			if (const auto now = gate->RequestSlot(std::move(request), this->clock.Now(), id); now) {
-				this->held[node] += now->code == ResultCode::RC_OK ? 1 : 0;
+			if (const auto decision = gate->RequestSlot(std::move(request), this->clock.Now(), id); decision) {
+				this->held[node] += decision->code == ResultCode::RC_OK ? 1 : 0;
 			}
 		}
 	}
@@ -140,7 +140,7 @@
 	CHECK(zone.held[1] == 0);
 	zone.Release(0, 3);
 	zone.Run(Millis(1500));
-	CHECK(zone.held[1] == 2); /* Recalled slots are not used again by the borrower. */
+	CHECK(zone.held[1] == 2); /* The borrower does not use recalled slots again. */
 }
 
 TEST_CASE("slots: lost and repeated messages create no slots")
--- a/tests/test_sockets.cpp
+++ b/tests/test_sockets.cpp
@@ -155,7 +155,7 @@
 {
 	SocketWorld world;
 	RawCaller control(world.endpoint.Port());
-	control.Send(Get("/fault?kind=1&count=1"));
+	control.Send(Get("/fault?kind=1&count=1")); /* EF_CLOSE */
 	REQUIRE(WaitFor([&] { return control.Has("200 OK"); }));
 	RawCaller caller(world.Port());
 	caller.Send(Post("/s/once", "abc"));
@@ -169,14 +169,14 @@
 {
 	SocketWorld world;
 	RawCaller control(world.endpoint.Port());
-	control.Send(Get("/fault?kind=2&count=3"));
+	control.Send(Get("/fault?kind=2&count=3")); /* EF_HALF */
 	REQUIRE(WaitFor([&] { return control.Has("200 OK"); }));
 	RawCaller half(world.Port());
 	half.Send(Get("/s/half"));
-	/* A reset may overtake the partial response: then no head was seen, and the outcome is reported as unknown. */
+	/* If a reset overtakes the partial response, the entry sees no head and reports the outcome as unknown. */
 	CHECK(WaitFor([&] { return half.Closed() || half.Has("Glade-Run: unknown"); }));
 	CHECK_FALSE(half.Has("\"bytes\""));
-	control.Send(Get("/fault?kind=0&count=0"));
+	control.Send(Get("/fault?kind=0&count=0")); /* EF_NONE */
 	REQUIRE(WaitFor([&] { return CountOf(control.input, "200 OK") == 2; }));
 	RawCaller stream(world.Port());
 	stream.Send(Get("/s/stream?stream=5"));
@@ -184,14 +184,15 @@
 	CHECK(CountOf(stream.input, "s\n") == 5);
 }
 
-TEST_CASE("sockets: not-run answers, slow heads, oversized bodies, and request smuggling")
+TEST_CASE("sockets: not-run answers are reported as such; slow heads, oversized bodies and ambiguous requests are "
+		  "rejected")
 {
 	CallerLimits limits;
 	limits.http.body_bytes = 1000;
 	limits.head_wait = Millis(50);
 	SocketWorld world(limits);
 	RawCaller control(world.endpoint.Port());
-	control.Send(Get("/fault?kind=6&count=9"));
+	control.Send(Get("/fault?kind=6&count=9")); /* EF_NOT_RUN */
 	REQUIRE(WaitFor([&] { return control.Has("200 OK"); }));
 	RawCaller refused(world.Port());
 	refused.Send(Post("/s/refused", "abc"));
@@ -228,6 +229,6 @@
 	RawCaller late(world.Port());
 	late.Send(Post("/s/late", "abc"));
 	CHECK(WaitFor([&] { return late.Has("Glade-Run: no"); }));
-	CHECK(late.Has("2105"));
+	CHECK(late.Has("2105")); /* RC_STOPPING */
 	CHECK(world.RunsOf("POST /s/late abc") == 0);
 }
