--- a/src/bench/bench_output.cpp
+++ b/src/bench/bench_output.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr double ROUNDING = 10000.0; ///< Figures are printed with four decimal places.
+constexpr double ROUNDING_FACTOR = 10000.0; ///< Rounds figures to four decimal places.
 
 double Rounded(double value)
 {
-	return std::round(value * ROUNDING) / ROUNDING;
+	return std::round(value * ROUNDING_FACTOR) / ROUNDING_FACTOR;
 }
 
 } // namespace
--- a/src/bench/bench_output.h
+++ b/src/bench/bench_output.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-/** A measured or computed figure. */
+/** A measured or computed figure, as printed. */
 struct Figure {
 	std::string bench;    ///< Name of the benchmark.
 	std::string preset;   ///< Preset or other setting of the run.
@@ -26,16 +26,17 @@
 
 /** Command-line options of a benchmark. */
 struct BenchOptions {
-	std::string preset = "greenhouse"; ///< Deployment to simulate: greenhouse, lindeboom or letter1.
+	std::string preset = "greenhouse"; ///< Preset of the deployment to simulate: greenhouse, lindeboom or letter1.
 	uint64_t seed = 1;                 ///< First random seed.
 	uint64_t seeds = 1;                ///< Number of consecutive seeds, starting at `seed`.
 	bool quick = false;                ///< Whether to use small sizes, for a smoke test.
 	std::string page;                  ///< Page that `capacity` writes its tables into; empty for none.
 };
 
+/* Each runs a benchmark, prints its figures and returns the exit code: 0 if its checks passed. */
 int RunMaintainBench(const BenchOptions &options); ///< Three weeks of maintenance, compared with baseline strategies.
 int RunOptimumBench(const BenchOptions &options);  ///< Box moves on small fleets, compared with the fewest possible.
-int RunFoldBench(const BenchOptions &options);     ///< Time to fold the log, pack a snapshot and join from it.
+int RunFoldBench(const BenchOptions &options);     ///< Time to fold a log, hash the state, pack and unpack a snapshot.
 int RunJobsBench(const BenchOptions &options);     ///< Start delay of urgent jobs, fairness, mass cancellation.
 int RunConfigBench(const BenchOptions &options);   ///< Delay from a publication until it is in force.
 int RunOverloadBench(const BenchOptions &options); ///< Three times the capacity, with faults, compared with baselines.
--- a/src/bench/capacity_bench.cpp
+++ b/src/bench/capacity_bench.cpp
@@ -50,7 +50,7 @@
 	return builder.GetSize() + 4.0;
 }
 
-/** Fits a line by least squares. */
+/** Fits a line by least squares; `counts` and `values` are the coordinates of the points. */
 LinearFit FitLine(const std::string &name, const std::string &unit, const std::string &count_name,
 				  const std::vector<double> &counts, const std::vector<double> &values)
 {
@@ -79,7 +79,7 @@
 	return fit;
 }
 
-/** Measures a quantity at several sizes of one count and fits a line. */
+/** Measures a quantity with one count set to each of `sizes` and fits a line. */
 LinearFit Measure(const std::string &name, const std::string &unit, const std::string &count_name,
 				  const std::vector<uint32_t> &sizes, const std::function<double(uint32_t)> &value)
 {
@@ -92,6 +92,7 @@
 	return FitLine(name, unit, count_name, counts, values);
 }
 
+/** @return Size that the measurements start from; each sets the counts that it varies. */
 SyntheticSize SmallSize()
 {
 	SyntheticSize size;
@@ -99,7 +100,7 @@
 	return size;
 }
 
-/** Measures the memory of the keepers' state. */
+/** Measures how the memory of a keeper's state grows with each count. */
 void MeasureState(std::vector<LinearFit> &fits)
 {
 	const auto heap = [](const SyntheticSize &size) { return FoldSyntheticLog(size).heap_bytes; };
@@ -132,12 +133,13 @@
 		for (const LogRecord &record : log) {
 			ApplyRecord(fleet, record);
 		}
+		/* Cancelled jobs stay in the state for a day and count too; the memory is scaled from their number to n. */
 		return (static_cast<double>(mallinfo2().uordblks) - before) * n /
 			   static_cast<double>(std::max<size_t>(fleet.jobs.size(), 1));
 	}));
 }
 
-/** Measures the time of folding, planning and building views. */
+/** Measures how the time of folding, planning and building views grows with the boxes. */
 void MeasureTime(std::vector<LinearFit> &fits)
 {
 	fits.push_back(Measure("fold a record", "us", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
@@ -159,29 +161,31 @@
 			inputs.list.push_back(
 					ListedBox{name, box.zone, box.rack, box.address, box.slots, box.health, PermitId(), true});
 		}
-		constexpr int TIMES = 5;
+		constexpr int REPETITIONS = 5;
 		const auto begin = std::chrono::steady_clock::now();
-		for (int i = 0; i < TIMES; i++) {
+		for (int i = 0; i < REPETITIONS; i++) {
 			PlanBoxes(fleet, inputs, GreenhousePolicy());
 			PlanJobs(fleet, GreenhousePolicy(), 200);
 		}
-		return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count() / TIMES;
+		return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count() /
+			   REPETITIONS;
 	}));
 	fits.push_back(Measure("build a view", "us", "boxes", {100, 300, 600, 1200}, [&](uint32_t n) {
 		SyntheticSize size = SmallSize();
 		size.boxes = n;
 		size.zones = 10;
 		const FleetState fleet = FoldSyntheticLog(size).fleet;
-		constexpr int TIMES = 20;
+		constexpr int REPETITIONS = 20;
 		const auto begin = std::chrono::steady_clock::now();
-		for (int i = 0; i < TIMES; i++) {
+		for (int i = 0; i < REPETITIONS; i++) {
 			BuildView(fleet, ZoneName("zone-0"), {});
 		}
-		return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count() / TIMES;
+		return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count() /
+			   REPETITIONS;
 	}));
 }
 
-/** Measures the sizes of messages, records and snapshots. */
+/** Measures how messages, records and snapshots grow with their contents. */
 void MeasureMessages(std::vector<LinearFit> &fits)
 {
 	fits.push_back(Measure("whole view", "B", "boxes of the zone", {12, 30, 60, 120}, [&](uint32_t n) {
--- a/src/bench/capacity_page.cpp
+++ b/src/bench/capacity_page.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/* Size of the letter1 preset, and sizes and rates that the figures are computed from. */
+/* Counts of the letter1 preset, and the other sizes, rates and limits behind the figures. */
 constexpr double BOXES = 1200;                     ///< Boxes.
 constexpr double POOLS = 43;                       ///< Pools.
 constexpr double TEAMS = 610;                      ///< Teams.
@@ -28,14 +28,14 @@
 constexpr double HELLOS_PER_SECOND = 2;            ///< Hellos, leases and keeper beats per second, each.
 constexpr double LEASE_BYTES = 60;                 ///< Size of a lease frame.
 constexpr double PLANNING_STEPS_PER_SECOND = 2;    ///< Planning steps per second.
-constexpr double BASE64_GROWTH = 4.0 / 3.0;        ///< Records are base64 in the platform's HTTP interface.
+constexpr double BASE64_GROWTH = 4.0 / 3.0;        ///< Growth of a record by base64, in the platform's HTTP interface.
 constexpr double RECORD_ENVELOPE_BYTES = 90; ///< Bytes around a record in a read response, with its share of the polls.
 constexpr double POLL_BYTES = 300;           ///< Request and response of a read without records, with headers.
 /** Lending messages per entry under overload, from `glade_bench slots` with 3 entries. */
 constexpr double SLOT_MESSAGES_PER_SECOND = 64;
 constexpr double SLOT_MESSAGE_BYTES = 90;               ///< Size of a lending message.
-constexpr double CPU_LIMIT_PERCENT = 3.9;               ///< Percent of one core.
-constexpr double MEMORY_LIMIT_BYTES = 256e6;            ///< Memory of a process.
+constexpr double CPU_PERCENT_LIMIT = 3.9;               ///< CPU time of a process, percent of one core.
+constexpr double MEMORY_BYTES_LIMIT = 256e6;            ///< Memory of a process.
 constexpr double CONTROL_BYTES_PER_SECOND_LIMIT = 9000; ///< Control traffic of a process.
 constexpr double APPENDS_PER_SECOND_LIMIT = 100;        ///< Appends to the platform's log, all writers.
 constexpr double PROCESS_BYTES = 22e6;   ///< Resident memory of an idle entry or keeper (scripts/process_check.sh).
@@ -70,6 +70,7 @@
 	}
 };
 
+/** @return The number with three significant digits below 10, else without decimal places. */
 std::string FormatNumber(double value)
 {
 	std::ostringstream out;
@@ -81,6 +82,7 @@
 	return out.str();
 }
 
+/** @return Both tables as Markdown. */
 std::string TablesText(const std::vector<LinearFit> &fits, const CapacityTable &table)
 {
 	std::string text = "\n## Computed at letter 1's size\n\n| role | what | value | unit | limit | used | mechanism "
@@ -128,9 +130,9 @@
 							  lookup.SlopeOf("whole view", "pools") * POOLS;
 	const double view_delta_bytes = 300;
 
-	add("entry", "state: its view", view_bytes, "B", MEMORY_LIMIT_BYTES,
+	add("entry", "state: its view", view_bytes, "B", MEMORY_BYTES_LIMIT,
 		"view of its own zone only; deltas with a hash");
-	add("entry", "memory", PROCESS_BYTES + view_bytes * 10, "B", MEMORY_LIMIT_BYTES,
+	add("entry", "memory", PROCESS_BYTES + view_bytes * 10, "B", MEMORY_BYTES_LIMIT,
 		"bounded queues, keys and buffers");
 	const double entry_bytes_per_second =
 			HELLOS_PER_SECOND * (lookup.ValueAt("hello of an entry", "boxes draining", 1) + LEASE_BYTES) +
@@ -141,14 +143,14 @@
 		"deltas; leases on the hello");
 	add("entry", "control bytes, overload", entry_bytes_per_second + SLOT_MESSAGES_PER_SECOND * SLOT_MESSAGE_BYTES,
 		"B/s", CONTROL_BYTES_PER_SECOND_LIMIT, "lending backs off while nobody lends");
-	add("keeper", "state: the fold", state_bytes, "B", MEMORY_LIMIT_BYTES,
+	add("keeper", "state: the fold", state_bytes, "B", MEMORY_BYTES_LIMIT,
 		"finished jobs forgotten after a day, silent writers after two weeks");
-	add("keeper", "memory", PROCESS_BYTES + 2 * state_bytes, "B", MEMORY_LIMIT_BYTES,
+	add("keeper", "memory", PROCESS_BYTES + 2 * state_bytes, "B", MEMORY_BYTES_LIMIT,
 		"one state and, while packing, one snapshot");
 	const double log_read_bytes_per_second = log_bytes_per_second * BASE64_GROWTH +
 											 (changes_per_second + job_records_per_second) * RECORD_ENVELOPE_BYTES +
 											 POLL_BYTES;
-	/* The whole list is sent again after every change: reboots, down and up, and changes of health. */
+	/* The whole list is sent again after every change: two per reboot (down, up), and other changes of health. */
 	const double list_bytes_per_second =
 			BOXES * LISTED_BOX_BYTES * (2 * BOXES / MAINTENANCE_CYCLE_DAYS + HEALTH_CHANGES_PER_DAY) / SECONDS_PER_DAY;
 	const double beat_bytes_per_second = HELLOS_PER_SECOND * 2 * (ENTRIES_PER_ZONE - 1) *
@@ -156,15 +158,16 @@
 	add("keeper", "control bytes",
 		log_read_bytes_per_second + beat_bytes_per_second + entry_bytes_per_second + list_bytes_per_second, "B/s",
 		CONTROL_BYTES_PER_SECOND_LIMIT, "long poll; list of boxes by version; beats within the zone; one entry each");
+	/* A rate times microseconds, divided by 1e4, is percent of a core. */
 	const double fold_cpu_percent =
 			(changes_per_second + job_records_per_second) *
 			(lookup.ValueAt("fold a record", "boxes", BOXES) + lookup.ValueAt("build a view", "boxes", BOXES)) / 1e4;
-	add("keeper", "processor, following", fold_cpu_percent, "% of a core", CPU_LIMIT_PERCENT,
+	add("keeper", "processor, following", fold_cpu_percent, "% of a core", CPU_PERCENT_LIMIT,
 		"hash kept as a sum: a record costs what it touches");
 	const double planning_cpu_percent =
 			PLANNING_STEPS_PER_SECOND * lookup.ValueAt("planning step", "boxes", BOXES) / 1e4;
 	add("planning keeper", "processor, planning", fold_cpu_percent + planning_cpu_percent, "% of a core",
-		CPU_LIMIT_PERCENT, "one planner a region, by a term; pools pictured once a step");
+		CPU_PERCENT_LIMIT, "one planner a region, by a term; pools pictured once a step");
 	add("platform's log", "appends", 1.5 + changes_per_second + job_records_per_second, "1/s", APPENDS_PER_SECOND_LIMIT,
 		"group commit: one append a tick and writer; planner's beat 0.5/s a region");
 	add("platform's log", "bytes", log_bytes_per_second, "B/s", 0, "binary records; cells, not tables");
--- a/src/bench/capacity_page.h
+++ b/src/bench/capacity_page.h
@@ -18,7 +18,7 @@
 
 /** A computed figure. */
 struct CapacityRow {
-	std::string role;      ///< Role of the process that the figure belongs to.
+	std::string role;      ///< Role of the process, or the platform's log, that the figure belongs to.
 	std::string what;      ///< Name of the figure.
 	double value = 0;      ///< Value at the size of the letter1 preset.
 	std::string unit;      ///< Unit of the value.
@@ -26,7 +26,7 @@
 	std::string mechanism; ///< Design choice that keeps the value low.
 };
 
-/** Computed figures of all roles. */
+/** All computed figures. */
 struct CapacityTable {
 	std::vector<CapacityRow> rows; ///< Figures in the order of roles.
 };
--- a/src/bench/config_bench.cpp
+++ b/src/bench/config_bench.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr Millis LOG_DELAY(20);              ///< Time of an append or read without faults.
-constexpr Millis PUBLICATION_INTERVAL(1000); ///< Time from one publication's end to the next.
+constexpr Millis LOG_DELAY(20);              ///< Delay of the answer to an append or read without faults.
+constexpr Millis PUBLICATION_INTERVAL(1000); ///< Time from the end of one publication to the start of the next.
 constexpr Millis IN_FORCE_TIMEOUT(120000);   ///< A publication that takes longer counts as never in force.
-constexpr size_t CELL_VALUES = 7;            ///< Number of values that the published cell cycles through.
+constexpr size_t DISTINCT_VALUES = 7;        ///< Number of values that the published cell cycles through.
 
 /** Injected fault. */
 enum class ConfigFault : uint8_t {
@@ -26,10 +26,11 @@
 	std::vector<double> in_force_ms; ///< Delay until the last connected entry applies a publication, ms.
 	double appends = 0;              ///< Appends per second by all keepers.
 	double bytes = 0;                ///< Bytes per second appended by all keepers.
-	size_t never_in_force = 0;       ///< Publications refused or not in force in time.
+	size_t never_in_force = 0;       ///< Publications refused, undecided or not in force within IN_FORCE_TIMEOUT.
 	size_t violations = 0;           ///< Violated invariants.
 };
 
+/** @return Quantile at `share`, without interpolation; 0 without values. */
 double QuantileOf(std::vector<double> values, double share)
 {
 	if (values.empty()) {
@@ -39,7 +40,14 @@
 	return values[std::min(static_cast<size_t>(share * static_cast<double>(values.size())), values.size() - 1)];
 }
 
-ConfigResult RunOnce(ConfigFault fault, size_t publications, uint32_t boxes)
+/**
+ * Publishes a cell again and again on a simulated site and waits until it is in force.
+ * @param fault Fault to inject.
+ * @param publications Number of publications.
+ * @param boxes Boxes of the site.
+ * @return Delays, load on the log, and failures.
+ */
+ConfigResult RunWithFault(ConfigFault fault, size_t publications, uint32_t boxes)
 {
 	FleetSite site(boxes);
 	for (const auto &it : site.keepers) {
@@ -59,7 +67,7 @@
 		KeeperNode &keeper = site.AnyKeeper();
 		const Millis published_at = site.clock.Now();
 		const auto outcome =
-				keeper.Publish({{CellKey{ServiceName("misting"), "weight"}, std::to_string(1 + i % CELL_VALUES)}},
+				keeper.Publish({{CellKey{ServiceName("misting"), "weight"}, std::to_string(1 + i % DISTINCT_VALUES)}},
 							   keeper.core.State().table_version.Value());
 		const bool decided = site.RunUntil([&] { return outcome->code == 0; }, IN_FORCE_TIMEOUT);
 		const LogOffset offset(outcome->offset);
@@ -102,7 +110,7 @@
 									  {ConfigFault::CF_ZONE_CUT, "zone_cut"},
 									  {ConfigFault::CF_ANSWERS_LOST, "answers_lost"}};
 	for (const Case &it : _cases) {
-		const ConfigResult result = RunOnce(it.fault, publications, std::min(preset.boxes, 90U));
+		const ConfigResult result = RunWithFault(it.fault, publications, std::min(preset.boxes, 90U));
 		const auto print = [&](const char *figure, double value, const char *unit) {
 			PrintFigure({"config", it.name, figure, value, unit, "", 0, options.seed});
 		};
--- a/src/bench/fleet_owner_bench.cpp
+++ b/src/bench/fleet_owner_bench.cpp
@@ -10,11 +10,11 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::array<size_t, 3> SIZES = {300, 1200, 5000}; ///< Numbers of boxes.
-constexpr size_t POOLS = 4;                                ///< Pools that run jobs.
-constexpr int DECISIONS = 10;                              ///< Decisions measured.
-constexpr Millis DECISION_INTERVAL(200);                   ///< Time between two decisions.
-constexpr Resources BOX_CAPACITY{16000, 65536, 0};         ///< Resources of a box.
+constexpr std::array<size_t, 3> FLEET_SIZES = {300, 1200, 5000}; ///< Fleet sizes in boxes.
+constexpr size_t POOLS = 4;                                      ///< Pools that run jobs.
+constexpr int DECISION_COUNT = 10;                               ///< Decisions that a measurement averages over.
+constexpr Millis DECISION_INTERVAL(200);                         ///< Time between two decisions.
+constexpr Resources BOX_CAPACITY{16000, 65536, 0};               ///< Resources of a box.
 constexpr int64_t WAITING_CPU = 4000000; ///< Thousandths of a core that jobs of the first pool wait for.
 
 ServiceName TestPoolName(size_t n)
@@ -22,12 +22,13 @@
 	return ServiceName("pool" + std::to_string(n));
 }
 
-/** @return A fleet whose first pool is full and has waiting jobs; in the other pools every second box runs jobs. */
+/** @return A fleet: in the first pool all boxes run jobs and more wait; in the others every second box runs jobs. */
 FleetView MakeView(size_t boxes)
 {
 	FleetView view;
 	for (size_t n = 0; n < boxes; n++) {
 		MachineRow row;
+		/* 7919 is a prime that divides no fleet size: names are distinct and out of order. */
 		row.box = BoxName("machine-" + std::to_string(n * 7919 % boxes));
 		row.pool = TestPoolName(n % POOLS);
 		row.state = MachineState::MS_UP;
@@ -58,20 +59,20 @@
 	}
 	waves.Add(order, Millis(0));
 	const auto begin = Clock::now();
-	for (int n = 1; n <= DECISIONS; n++) {
+	for (int n = 1; n <= DECISION_COUNT; n++) {
 		const Millis now(n * DECISION_INTERVAL.Value());
 		waves.SetExcluded(pools.Taken());
 		waves.Decide(view, now);
 		pools.Decide(view, waves.Taken(), now);
 	}
-	return std::chrono::duration<double, std::micro>(Clock::now() - begin).count() / DECISIONS;
+	return std::chrono::duration<double, std::micro>(Clock::now() - begin).count() / DECISION_COUNT;
 }
 
 } // namespace
 
 int RunFleetOwnerBench(const BenchOptions &options)
 {
-	for (const size_t boxes : SIZES) {
+	for (const size_t boxes : FLEET_SIZES) {
 		PrintFigure(
 				{"fleet", std::to_string(boxes) + " boxes", "look", MeasureDecision(boxes), "us", "", 0, options.seed});
 	}
--- a/src/bench/fold_bench.cpp
+++ b/src/bench/fold_bench.cpp
@@ -1,4 +1,4 @@
-/** @file fold_bench.cpp Time to fold a log, to hash the state, to pack a snapshot and to join from it. */
+/** @file fold_bench.cpp Time to fold a log, to hash the whole state, and to pack and unpack a snapshot. */
 #include "bench_output.h"
 #include "synthetic_log.h"
 
@@ -37,9 +37,9 @@
 	const auto pack_begin = std::chrono::steady_clock::now();
 	const std::string bytes = PackSnapshot(fleet);
 	const double pack_ms = MillisecondsSince(pack_begin);
-	const auto join_begin = std::chrono::steady_clock::now();
-	const bool joined = UnpackSnapshot(bytes, fleet.Hash()).has_value();
-	const double join_ms = MillisecondsSince(join_begin);
+	const auto unpack_begin = std::chrono::steady_clock::now();
+	const bool unpacked = UnpackSnapshot(bytes, fleet.Hash()).has_value();
+	const double unpack_ms = MillisecondsSince(unpack_begin);
 	const auto print = [&](const char *figure, double value, const char *unit) {
 		PrintFigure({"fold", preset.name, figure, value, unit, "", 0, options.seed});
 	};
@@ -50,6 +50,6 @@
 				 hash_ms / (fold_ms / static_cast<double>(log.size())), options.seed});
 	print("snapshot_bytes", static_cast<double>(bytes.size()), "B");
 	print("snapshot_pack", pack_ms, "ms");
-	print("join_from_snapshot", join_ms, "ms");
-	return hash_matches && joined ? 0 : 1;
+	print("join_from_snapshot", unpack_ms, "ms");
+	return hash_matches && unpacked ? 0 : 1;
 }
--- a/src/bench/jobs_bench.cpp
+++ b/src/bench/jobs_bench.cpp
@@ -1,4 +1,4 @@
-/** @file jobs_bench.cpp Jobs: start delay of urgent ones, fairness among teams, acceptance rate, mass cancellation. */
+/** @file jobs_bench.cpp Jobs: acceptance rate, fairness among teams, delay of urgent jobs, mass cancellation. */
 #include "bench_output.h"
 #include "synthetic_log.h"
 
@@ -14,13 +14,13 @@
 
 namespace {
 
-constexpr Millis PLAN_TICK(250);            ///< Time between two planning steps.
-constexpr Millis LOG_DELAY(20);             ///< Time of an append or read.
-constexpr Millis CHECKPOINT_TIME(300);      ///< Time from a stop request until the job has stopped.
-constexpr Millis REPORT_DELAY(250);         ///< Time from the end of a job until its report.
-constexpr size_t PLACEMENTS_PER_STEP = 500; ///< Most placements in a planning step.
-constexpr size_t CANCEL_WAVE_JOBS = 10000;  ///< Jobs cancelled at once.
-constexpr size_t CANCEL_BATCH_JOBS = 500;   ///< Jobs in one cancellation record.
+constexpr Millis PLAN_TICK(250);              ///< Time between two planning steps.
+constexpr Millis LOG_DELAY(20);               ///< Delay of the answer to an append or read.
+constexpr Millis CHECKPOINT_TIME(300);        ///< Time from a stop request until the job has stopped.
+constexpr Millis REPORT_DELAY(250);           ///< Time from the end of a job until its report.
+constexpr size_t PLACEMENTS_PER_STEP = 500;   ///< Maximum of placements in a planning step.
+constexpr size_t MAX_CANCELLED_JOBS = 10000;  ///< Maximum of jobs cancelled at once.
+constexpr size_t JOBS_PER_CANCELLATION = 500; ///< Maximum of jobs in one cancellation proposal.
 
 /** @return Quantile at `share` by the nearest-rank method; 0 without values. */
 double QuantileOf(std::vector<double> values, double share)
@@ -33,7 +33,10 @@
 	return values[std::min(at, values.size() - 1)];
 }
 
-/** Simulates a planner and boxes that run its jobs, over a log in memory. */
+/**
+ * Simulates a planner and boxes that run its jobs, over a log in memory. An urgent job runs for a second from its
+ * placement; a batch job runs until it is stopped or cancelled.
+ */
 class JobsSimulation {
 public:
 	JobsSimulation(const FleetPreset &preset, uint64_t seed)
@@ -46,7 +49,10 @@
 		this->policy.drain_grace = Millis(MS_PER_HOUR);
 	}
 
-	/** Fills the fleet with batch jobs of all teams, then submits urgent jobs, then cancels jobs in bulk. */
+	/**
+	 * Fills the fleet with batch jobs of all teams, then submits urgent jobs, then cancels jobs in bulk.
+	 * @param quick Whether to submit fewer jobs, for a smoke test.
+	 */
 	void Run(bool quick)
 	{
 		this->tail.Start();
@@ -56,18 +62,18 @@
 		this->SubmitBatchJobs(quick ? 2000 : 20000);
 		this->clock.RunUntil(this->clock.Now() + Millis(30000));
 		this->MeasureFairness();
-		this->SubmitUrgent(quick ? Millis(5000) : Millis(60000));
+		this->SubmitUrgentJobs(quick ? Millis(5000) : Millis(60000));
 		this->clock.RunUntil(this->clock.Now() + Millis(20000));
-		this->CancelWave();
+		this->CancelInBulk();
 	}
 
-	std::vector<double> start_delays_ms; ///< Time from submitting an urgent job to its start, ms.
+	std::vector<double> start_delays_ms; ///< Time from submitting an urgent job until its placement is read, ms.
 	size_t urgent_submitted = 0;         ///< Urgent jobs submitted.
-	double accepted_per_second = 0;      ///< Batch jobs accepted per second.
-	double unfairness = 0;               ///< Largest difference in used quota shares between teams with waiting jobs.
-	double cancel_ms = 0;                ///< Time until all cancellations were in force.
-	uint64_t cancel_appends = 0;         ///< Appends needed for the cancellations.
-	size_t preempted = 0;                ///< Jobs stopped at a checkpoint in favour of urgent ones.
+	double accepted_per_second = 0; ///< Batch jobs decided per second, from the first submission to the last decision.
+	double unfairness = 0; ///< Largest difference between teams with waiting jobs in the share of the quota in use.
+	double cancel_ms = 0;  ///< Time until all cancellations were decided, ms.
+	uint64_t cancel_appends = 0; ///< Appends to the log until all cancellations were decided.
+	size_t preempted = 0;        ///< Running jobs that were asked to end at a checkpoint, for urgent ones.
 
 	[[nodiscard]] const LogStore &Store() const { return this->store; }
 
@@ -80,10 +86,10 @@
 	LogTail tail;                                   ///< Follows the log and keeps the state.
 	LogWriter writer;                               ///< Appends proposals to the log.
 	PlannerPolicy policy;                           ///< Planner settings.
-	size_t undecided_proposals = 0;                 ///< Planner's proposals without a decision yet.
-	std::map<JobName, Millis> submitted;            ///< Submission times of urgent jobs that have not started.
-	std::set<JobName> stopping;                     ///< Jobs requested to stop at a checkpoint.
-	std::set<std::pair<JobName, uint32_t>> running; ///< Attempts with a scheduled end.
+	size_t undecided_proposals = 0;                 ///< Placements proposed and not decided yet.
+	std::map<JobName, Millis> submitted;            ///< Submission times of urgent jobs that are not placed yet.
+	std::set<JobName> stopping;                     ///< Jobs that were requested to stop and have not reported it yet.
+	std::set<std::pair<JobName, uint32_t>> running; ///< Not used.
 
 	void Submit(Proposal it, WritePriority priority, LogWriter::Done done = {})
 	{
@@ -114,11 +120,12 @@
 			quota.units = this->preset.boxes * this->preset.slots * 2 / this->preset.teams + 4;
 			this->Submit(MakeProposal(std::move(quota)), WritePriority::WP_CONFIG);
 		}
-		this->clock.After(Millis(3000), [this] { this->ListBoxes(); });
-		this->clock.After(Millis(8000), [this] { this->ListBoxes(); });
+		this->clock.After(Millis(3000), [this] { this->ProposeBoxChanges(); });
+		this->clock.After(Millis(8000), [this] { this->ProposeBoxChanges(); });
 	}
 
-	void ListBoxes()
+	/** Proposes changes from the list of boxes: the first call registers the boxes, the second reports their health. */
+	void ProposeBoxChanges()
 	{
 		for (Proposal &it : PlanList(this->tail.State(), SimulatedFleet(this->preset, 1).List())) {
 			this->Submit(std::move(it), WritePriority::WP_BOX);
@@ -153,7 +160,7 @@
 		}
 	}
 
-	void SubmitUrgent(Millis span)
+	void SubmitUrgentJobs(Millis span)
 	{
 		const Millis end = this->clock.Now() + span;
 		while (this->clock.Now() < end) {
@@ -164,6 +171,7 @@
 		}
 	}
 
+	/** Plans once all placements of the step before are decided, so that no job is placed twice. */
 	void PlanTick()
 	{
 		if (this->undecided_proposals == 0) {
@@ -174,13 +182,14 @@
 							 [this](const Decision &) { this->undecided_proposals--; });
 			}
 			for (const JobName &name : plan.stop) {
-				this->Stop(name);
+				this->RequestStop(name);
 			}
 		}
 		this->clock.After(PLAN_TICK, [this] { this->PlanTick(); });
 	}
 
-	void Stop(const JobName &name)
+	/** Requests a job to stop: its report follows after CHECKPOINT_TIME and REPORT_DELAY. */
+	void RequestStop(const JobName &name)
 	{
 		if (!this->stopping.insert(name).second) {
 			return;
@@ -202,6 +211,7 @@
 		this->Submit(MakeProposal(std::move(report)), WritePriority::WP_JOB);
 	}
 
+	/** Passes decisions to the writer and notes which urgent jobs were placed. */
 	void OnRecord(const std::vector<Decision> &decisions)
 	{
 		this->writer.OnDecisions(decisions);
@@ -240,23 +250,23 @@
 		this->unfairness = waiting.empty() ? 0 : high - low;
 	}
 
-	void CancelWave()
+	void CancelInBulk()
 	{
 		const Millis begin = this->clock.Now();
 		const uint64_t before = this->writer.Counters().appends;
 		std::vector<std::string> names;
 		for (const auto &[name, job] : this->tail.State().jobs) {
-			if (names.size() < CANCEL_WAVE_JOBS &&
+			if (names.size() < MAX_CANCELLED_JOBS &&
 				(job.state == JobState::JS_WAITING || job.state == JobState::JS_PLACED)) {
 				names.push_back(name.Value());
 			}
 		}
 		const auto left = std::make_shared<size_t>(0);
-		for (size_t i = 0; i < names.size(); i += CANCEL_BATCH_JOBS) {
+		for (size_t i = 0; i < names.size(); i += JOBS_PER_CANCELLATION) {
 			glade::wire::JobCancelT cancel;
 			cancel.jobs.assign(names.begin() + static_cast<std::ptrdiff_t>(i),
 							   names.begin() +
-									   static_cast<std::ptrdiff_t>(std::min(i + CANCEL_BATCH_JOBS, names.size())));
+									   static_cast<std::ptrdiff_t>(std::min(i + JOBS_PER_CANCELLATION, names.size())));
 			++*left;
 			this->Submit(MakeProposal(std::move(cancel)), WritePriority::WP_JOB,
 						 [this, left, begin, before](const Decision &) {
--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp glade_bench: benchmarks. Those of decisions run on a virtual clock and are reproducible. */
+/** @file main.cpp glade_bench: runs a benchmark by name. Simulations run on a virtual clock, reproducibly. */
 #include "../program/program.h"
 #include "bench_output.h"
 
--- a/src/bench/maintain_bench.cpp
+++ b/src/bench/maintain_bench.cpp
@@ -13,22 +13,22 @@
 constexpr Millis START_TIME(1000 * MS_PER_DAY);     ///< Virtual wall clock at the start.
 constexpr Millis JOB_TIME_MEAN(2 * MS_PER_HOUR);    ///< Mean run time of a job.
 constexpr int PLANNING_ROUNDS_PER_STEP = 3; ///< Planning steps in a simulation step; each builds on the one before.
-constexpr size_t PLACEMENTS_PER_STEP = 500; ///< Most placements in a planning step.
+constexpr size_t PLACEMENTS_PER_STEP = 500; ///< Maximum of placements in a planning step.
 constexpr double US_PER_MS = 1000.0;        ///< Microseconds in a millisecond.
 
-/** Result of a run, or the sum over several seeds. */
+/** Result of a run, or the sum over several seeds. A pool-step is a pool in one simulation step. */
 struct MaintainResult {
 	uint64_t violations_planned = 0;   ///< Pool-steps below the floors that would be met without planned work.
 	uint64_t violations_unplanned = 0; ///< Pool-steps below the floors because of failures alone.
 	uint64_t overdue = 0;              ///< Boxes not maintained during the run.
-	double rollout_hours = 0;          ///< Time until the last first maintenance of a box.
+	double rollout_hours = 0;          ///< Time until the last box was maintained for the first time, hours.
 	uint64_t box_moves = 0;            ///< Moves of boxes between pools.
 	uint64_t job_moves = 0;            ///< Jobs stopped at a checkpoint to drain a box.
-	double buffer_bound = 0; ///< Lower bound of buffer_share: pools spread evenly over zones, no box down by plan.
-	double buffer_share = 0; ///< Mean share of slots that are idle for guards or down by plan.
+	double buffer_bound = 0; ///< Lower bound of `buffer_share`: pools spread evenly over zones, no box down by plan.
+	double buffer_share = 0; ///< Mean share of slots that are kept idle for guards or down by plan.
 	uint64_t appends = 0;    ///< Records appended.
 	uint64_t bytes = 0;      ///< Bytes of the appended records.
-	uint64_t rejected = 0;   ///< Proposals refused by the fold.
+	uint64_t rejected = 0;   ///< Proposals that the fold rejected.
 	uint64_t steps = 0;      ///< Planning steps.
 	double plan_us = 0;      ///< Time of all planning steps, microseconds.
 	double plan_us_max = 0;  ///< Time of the longest planning step, microseconds.
@@ -69,7 +69,7 @@
 	double buffer_sum = 0;                      ///< Sum of the measured buffer shares.
 	double bound_sum = 0;                       ///< Sum of the lower bounds of the buffer share.
 	uint64_t measurements = 0;                  ///< Number of summands in the sums.
-	Millis last_first_maintenance = START_TIME; ///< Latest time at which a box was maintained for the first time.
+	Millis last_first_maintenance = START_TIME; ///< Latest first maintenance of a box.
 
 	/** Appends proposals as one record and folds it. */
 	void Append(std::vector<Proposal> proposals)
@@ -165,6 +165,10 @@
 		this->ApplyChanges(before);
 	}
 
+	/**
+	 * Counts moves and first maintenances and carries out reboots.
+	 * @param before Boxes before the planning step.
+	 */
 	void ApplyChanges(const std::map<BoxName, Box> &before)
 	{
 		for (const auto &[name, box] : this->fleet.boxes) {
@@ -182,12 +186,14 @@
 		}
 	}
 
+	/** Accepts the jobs that arrive in a simulation step. */
 	void AcceptJobs()
 	{
 		const double jobs_per_step =
 				this->preset.jobs_per_day * static_cast<double>(TIME_STEP.Value()) / static_cast<double>(MS_PER_DAY);
 		std::vector<Proposal> proposals;
 		for (double left = jobs_per_step; left > 0; left -= 1) {
+			/* Over a step of one day, the daily rate is the probability. */
 			if (!this->job_rng.EventOccurs(std::min(left, 1.0), Millis(MS_PER_DAY))) {
 				continue;
 			}
@@ -202,7 +208,8 @@
 		this->Append(std::move(proposals));
 	}
 
-	void Report(std::vector<Proposal> &proposals, const Job &job, JobOutcome outcome)
+	/** Adds the report that a job ended to `proposals`. */
+	void AddJobReport(std::vector<Proposal> &proposals, const Job &job, JobOutcome outcome)
 	{
 		glade::wire::JobReportT report;
 		report.job = job.name.Value();
@@ -212,6 +219,7 @@
 		this->job_ends.erase(job.name);
 	}
 
+	/** Reports jobs placed under an earlier epoch of their box as expired, and jobs whose run time is over as done. */
 	void ReportEndedJobs()
 	{
 		std::vector<Proposal> proposals;
@@ -221,15 +229,16 @@
 			}
 			const auto box = this->fleet.boxes.find(job.box);
 			if (box->second.epoch != job.box_epoch) {
-				this->Report(proposals, job, JobOutcome::JO_LEASE_EXPIRED);
+				this->AddJobReport(proposals, job, JobOutcome::JO_LEASE_EXPIRED);
 			} else if (const auto end = this->job_ends.find(name);
 					   end != this->job_ends.end() && end->second <= this->now) {
-				this->Report(proposals, job, JobOutcome::JO_DONE);
+				this->AddJobReport(proposals, job, JobOutcome::JO_DONE);
 			}
 		}
 		this->Append(std::move(proposals));
 	}
 
+	/** Places waiting jobs, draws their end times, and stops jobs on draining boxes. */
 	void PlanJobsOnce()
 	{
 		JobPlan plan = PlanJobs(this->fleet, this->strategy.JobPolicy(), PLACEMENTS_PER_STEP);
@@ -242,14 +251,15 @@
 		std::vector<Proposal> stops;
 		for (const JobName &name : plan.stop) {
 			this->result.job_moves++;
-			this->Report(stops, this->fleet.jobs.at(name), JobOutcome::JO_CHECKPOINT);
+			this->AddJobReport(stops, this->fleet.jobs.at(name), JobOutcome::JO_CHECKPOINT);
 		}
 		this->Append(std::move(stops));
 	}
 
+	/** Adds the buffer shares of the present state and counts pools below their floors. */
 	void Measure()
 	{
-		uint64_t idle_slots = 0;
+		uint64_t buffer_slots = 0;
 		uint64_t all_slots = 0;
 		uint64_t bound_slots = 0;
 		for (const auto &[name, pool] : PoolModelsOf(this->fleet)) {
@@ -265,15 +275,16 @@
 					box.health = BoxHealth::BH_UP;
 				}
 			}
+			/* With an even spread, the loss of a zone takes this many boxes. */
 			const uint64_t up_boxes = capacity.up / this->preset.slots;
 			bound_slots += (up_boxes + this->preset.zones - 1) / this->preset.zones * this->preset.slots;
-			idle_slots += HeadroomOf(capacity, floors) + planned_down;
+			buffer_slots += HeadroomOf(capacity, floors) + planned_down;
 			if (!FloorsHold(capacity, floors, false)) {
-				const bool by_plan = FloorsHold(CapacityOf(without_plan), floors, false);
-				(by_plan ? this->result.violations_planned : this->result.violations_unplanned)++;
+				const bool caused_by_plan = FloorsHold(CapacityOf(without_plan), floors, false);
+				(caused_by_plan ? this->result.violations_planned : this->result.violations_unplanned)++;
 			}
 		}
-		this->buffer_sum += all_slots == 0 ? 0 : static_cast<double>(idle_slots) / static_cast<double>(all_slots);
+		this->buffer_sum += all_slots == 0 ? 0 : static_cast<double>(buffer_slots) / static_cast<double>(all_slots);
 		this->bound_sum += all_slots == 0 ? 0 : static_cast<double>(bound_slots) / static_cast<double>(all_slots);
 		this->measurements++;
 	}
--- a/src/bench/optimum_bench.cpp
+++ b/src/bench/optimum_bench.cpp
@@ -12,15 +12,16 @@
 constexpr uint32_t BOXES = 9;            ///< Boxes of a fleet: 3 zones with 3 racks of one box each.
 constexpr uint32_t POOLS = 3;            ///< Pools.
 constexpr uint32_t SLOTS = 8;            ///< Slots of a box.
-constexpr int MAX_STEPS = 200;           ///< Planning steps after which the planner counts as not arrived.
-constexpr uint64_t CASES_PER_SEED = 200; ///< Changes of floors per seed.
+constexpr int MAX_STEPS = 200;           ///< Maximum of planning steps; floors not met by then count as missed.
+constexpr uint64_t CASES_PER_SEED = 200; ///< Changes of floors in a run.
 
-/** Boxes and floors; which pool a box is in is given by an assignment. */
+/** Boxes and floors. The pools of the boxes are given apart, by an assignment: the pool index of each box. */
 struct SmallFleet {
 	std::vector<Box> boxes;       ///< Boxes of all pools.
 	std::vector<uint32_t> floors; ///< Floor of each pool's service.
 };
 
+/** @return Model of a pool with one service and the boxes that are assigned to it. */
 PoolModel ModelOfPool(const SmallFleet &fleet, const std::vector<uint32_t> &assignment, uint32_t pool)
 {
 	PoolModel model;
@@ -40,6 +41,7 @@
 	return model;
 }
 
+/** @return Whether every pool meets its floor, also after the loss of a zone. */
 bool AllFloorsHold(const SmallFleet &fleet, const std::vector<uint32_t> &assignment)
 {
 	for (uint32_t pool = 0; pool < POOLS; pool++) {
@@ -52,18 +54,19 @@
 }
 
 /** @return Fewest moves to an assignment that meets all floors, by trying every one; UINT32_MAX if there is none. */
-uint32_t FewestMoves(const SmallFleet &fleet, const std::vector<uint32_t> &from)
+uint32_t FewestMoves(const SmallFleet &fleet, const std::vector<uint32_t> &initial)
 {
 	uint32_t best = UINT32_MAX;
 	std::vector<uint32_t> assignment(BOXES, 0);
 	while (true) {
 		uint32_t moves = 0;
 		for (uint32_t i = 0; i < BOXES; i++) {
-			moves += assignment[i] != from[i] ? 1 : 0;
+			moves += assignment[i] != initial[i] ? 1 : 0;
 		}
 		if (moves < best && AllFloorsHold(fleet, assignment)) {
 			best = moves;
 		}
+		/* The next assignment: counts up in base POOLS. */
 		uint32_t digit = 0;
 		while (digit < BOXES && ++assignment[digit] == POOLS) {
 			assignment[digit++] = 0;
@@ -74,7 +77,13 @@
 	}
 }
 
-/** @return Moves by the planner until it proposes none; each move is carried out at once. */
+/**
+ * Plans moves until the planner proposes none; of each planning step, the first move is carried out at once.
+ * @param fleet Boxes and floors.
+ * @param assignment Index of each box's pool at the start.
+ * @param[out] floors_hold Whether all floors are met in the end.
+ * @return Number of moves.
+ */
 uint32_t PlannerMoves(const SmallFleet &fleet, std::vector<uint32_t> assignment, bool &floors_hold)
 {
 	PlannerPolicy policy = GreenhousePolicy();
@@ -122,23 +131,24 @@
 	uint64_t missed_cases = 0;
 	const uint64_t cases = options.quick ? CASES_PER_SEED / 10 : CASES_PER_SEED;
 	while (counted_cases + missed_cases < cases) {
-		std::vector<uint32_t> from;
+		std::vector<uint32_t> initial;
 		for (uint32_t i = 0; i < BOXES; i++) {
-			from.push_back(i % POOLS);
+			initial.push_back(i % POOLS);
 		}
-		std::ranges::for_each(from, [&](uint32_t &it) {
+		/* Each box starts in a random pool with a probability of a quarter. */
+		std::ranges::for_each(initial, [&](uint32_t &it) {
 			it = rng.UniformBelow(4) == 0 ? static_cast<uint32_t>(rng.UniformBelow(POOLS)) : it;
 		});
 		fleet.floors.clear();
 		for (uint32_t pool = 0; pool < POOLS; pool++) {
 			fleet.floors.push_back(static_cast<uint32_t>(rng.UniformBelow(4)) * SLOTS);
 		}
-		const uint32_t best = FewestMoves(fleet, from);
+		const uint32_t best = FewestMoves(fleet, initial);
 		if (best == 0 || best == UINT32_MAX) {
 			continue; /* The floors are already met, or no assignment meets them. */
 		}
 		bool floors_hold = false;
-		const uint32_t moves = PlannerMoves(fleet, from, floors_hold);
+		const uint32_t moves = PlannerMoves(fleet, initial, floors_hold);
 		if (!floors_hold) {
 			missed_cases++;
 			continue;
--- a/src/bench/overload_bench.cpp
+++ b/src/bench/overload_bench.cpp
@@ -1,4 +1,4 @@
-/** @file overload_bench.cpp Load of three times the capacity, with faults, on the request path with a virtual clock. */
+/** @file overload_bench.cpp The request path under three times the capacity and with faults, on a virtual clock. */
 #include "bench_output.h"
 #include "simulated_fleet.h"
 
@@ -13,7 +13,7 @@
 constexpr uint32_t SLOTS = 8;           ///< Slots of an endpoint.
 constexpr Millis SERVICE_TIME_MEAN(40); ///< Mean time that an endpoint spends on a request.
 constexpr uint32_t SLOW_FACTOR = 5;     ///< Factor by which the slow endpoint takes longer.
-constexpr Millis FAILURE_TIME(2);       ///< Time after which the failing endpoint answers 500.
+constexpr Millis FAILURE_DELAY(2);      ///< Time after which the failing endpoint answers 500.
 constexpr size_t SLOW_ENDPOINT = 3;     ///< Index of the slow endpoint.
 constexpr size_t FAILING_ENDPOINT = 7;  ///< Index of the endpoint that fails every request.
 constexpr size_t LOST_RACK_FIRST = 4;   ///< First endpoint of the rack that goes down.
@@ -26,10 +26,11 @@
 /** A class of requests. */
 struct TrafficClass {
 	const char *service; ///< Name of the service.
-	uint32_t percent;    ///< Share of all requests.
+	uint32_t percent;    ///< Share of all requests, percent.
 	Millis deadline;     ///< Deadline of the requests, after their start.
 };
 
+/** Classes of the load; the first is the urgent one. */
 constexpr TrafficClass _traffic_classes[] = {
 		{"counter", 20, Millis(300)}, {"reservations", 40, Millis(2000)}, {"claims", 40, Millis(10000)}};
 
@@ -65,8 +66,8 @@
 	double urgent_on_time = 0; ///< Share of urgent requests that succeed before their deadline.
 	double goodput = 0;        ///< Successes before the deadline, as a share of what the slots allow.
 	double retries = 0;        ///< Retries per request sent.
-	double amplification = 0;  ///< Endpoint calls per admitted request.
-	double refusal_ms = 0;     ///< Mean time until a request is refused.
+	double amplification = 0;  ///< Calls to reachable endpoints, divided by their number less all retries.
+	double refusal_ms = 0;     ///< Mean time until a refusal, ms.
 };
 
 /** Simulates callers, the request path of an entry, and endpoints. */
@@ -98,7 +99,7 @@
 		result.amplification =
 				static_cast<double>(this->endpoint_calls) /
 				static_cast<double>(std::max<uint64_t>(this->endpoint_calls - this->path.counters.retries, 1));
-		result.refusal_ms = this->refusals == 0 ? 0 : this->refusal_ms / static_cast<double>(this->refusals);
+		result.refusal_ms = this->refusals == 0 ? 0 : this->refusal_ms_sum / static_cast<double>(this->refusals);
 		return result;
 	}
 
@@ -119,8 +120,8 @@
 	uint64_t sent_requests[3] = {0, 0, 0}; ///< Requests sent, by class.
 	uint64_t good_answers[3] = {0, 0, 0};  ///< Successes before the deadline, by class.
 	uint64_t endpoint_calls = 0;           ///< Calls to endpoints that could be reached.
-	double refusal_ms = 0;                 ///< Sum of times until refusals.
-	uint64_t refusals = 0;                 ///< Number of refusals.
+	double refusal_ms_sum = 0;             ///< Sum of times until refusals, ms.
+	uint64_t refusals = 0;                 ///< Answers with a status other than 200 and 500.
 
 	static RequestSettings SettingsOf(const OverloadPolicy &policy)
 	{
@@ -130,6 +131,7 @@
 		return settings;
 	}
 
+	/** @return Whether the rack is down now: in the third quarter of the span. */
 	[[nodiscard]] bool RackLost() const
 	{
 		const Millis now = this->clock.Now();
@@ -139,10 +141,12 @@
 	/** @return Successes that the slots allow: all slots of working endpoints busy for as long as these are up. */
 	[[nodiscard]] double AnswerCapacity() const
 	{
+		/* A request takes 1 ms plus a random time with the mean SERVICE_TIME_MEAN. */
 		const double per_endpoint =
 				static_cast<double>(SLOTS * this->span.Value()) / static_cast<double>(SERVICE_TIME_MEAN.Value() + 1);
-		const double lost = 0.25 * (LOST_RACK_LAST - LOST_RACK_FIRST + 1);
-		return per_endpoint * (ENDPOINTS - 2 - lost + 1.0 / SLOW_FACTOR);
+		/* The rack is down for a quarter of the span. The failing endpoint counts as none, the slow one in part. */
+		const double lost_endpoints = 0.25 * (LOST_RACK_LAST - LOST_RACK_FIRST + 1);
+		return per_endpoint * (ENDPOINTS - 2 - lost_endpoints + 1.0 / SLOW_FACTOR);
 	}
 
 	void PushView()
@@ -161,11 +165,13 @@
 	void Tick()
 	{
 		this->path.routes.Gates().begin()->second->Tick(this->clock.Now());
+		/* Without a budget, the bucket is filled so far that it never limits retries. */
 		while (!this->limit_retries && this->path.retries.AddRetry() < 1000) {
 		}
 		this->clock.After(GATE_TICK, [this] { this->Tick(); });
 	}
 
+	/** Submits the requests of a millisecond, and schedules the next call until the span is over. */
 	void SubmitRequests();
 };
 
@@ -185,7 +191,7 @@
 			this->run.good_answers[this->class_index]++;
 		} else if (this->status != STATUS_OK && this->status != STATUS_ERROR) {
 			this->run.refusals++;
-			this->run.refusal_ms += static_cast<double>(took.Value());
+			this->run.refusal_ms_sum += static_cast<double>(took.Value());
 		}
 	}
 	void Abort() override {}
@@ -193,7 +199,7 @@
 
 	OverloadSimulation &run; ///< Simulation that counts the outcome.
 	size_t class_index;      ///< Index of its traffic class.
-	Millis begin_time;       ///< Time of the request.
+	Millis begin_time;       ///< Start time of the request.
 	int status = 0;          ///< HTTP status of the answer, 0 before it.
 };
 
@@ -201,11 +207,11 @@
 class SimulatedCall : public EndpointCall {
 public:
 	SimulatedCall(OverloadSimulation &run, size_t endpoint, CallEvents &events)
-			: state(std::make_shared<CallEvents *>(&events))
+			: receiver(std::make_shared<CallEvents *>(&events))
 	{
-		const bool refuses = run.RackLost() && endpoint >= LOST_RACK_FIRST && endpoint <= LOST_RACK_LAST;
-		if (refuses) {
-			run.clock.After(Millis(1), [it = this->state] {
+		const bool unreachable = run.RackLost() && endpoint >= LOST_RACK_FIRST && endpoint <= LOST_RACK_LAST;
+		if (unreachable) {
+			run.clock.After(Millis(1), [it = this->receiver] {
 				if (*it != nullptr) {
 					std::exchange(*it, nullptr)->OnCallFailed(CallFailure::CF_NOT_CONNECTED);
 				}
@@ -218,9 +224,9 @@
 			work = Millis(work.Value() * SLOW_FACTOR);
 		}
 		if (endpoint == FAILING_ENDPOINT) {
-			work = FAILURE_TIME;
+			work = FAILURE_DELAY;
 		}
-		run.clock.After(work, [it = this->state, endpoint] {
+		run.clock.After(work, [it = this->receiver, endpoint] {
 			if (*it == nullptr) {
 				return;
 			}
@@ -234,12 +240,12 @@
 		});
 	}
 
-	~SimulatedCall() override { *this->state = nullptr; }
+	~SimulatedCall() override { *this->receiver = nullptr; }
 	void SetPaused(bool) override {}
-	void Abandon() override { *this->state = nullptr; }
+	void Abandon() override { *this->receiver = nullptr; }
 
 private:
-	std::shared_ptr<CallEvents *> state; ///< Receiver of events; null once the call has ended or was abandoned.
+	std::shared_ptr<CallEvents *> receiver; ///< Receiver of events; null once the call has ended or was abandoned.
 };
 
 std::unique_ptr<EndpointCall> OverloadSimulation::Start(const std::string &address, const CallerRequest &,
@@ -271,6 +277,7 @@
 		auto caller = std::make_shared<SimulatedCaller>(*this, class_index);
 		auto exchange = std::make_shared<Exchange>(this->clock, this->path, *this, *caller, std::move(request));
 		exchange->Start();
+		/* Keeps both alive far beyond the longest deadline. */
 		this->clock.After(Millis(65000), [caller, exchange] {});
 	}
 	this->clock.After(Millis(1), [this] { this->SubmitRequests(); });
--- a/src/bench/proxy_bench.cpp
+++ b/src/bench/proxy_bench.cpp
@@ -82,7 +82,7 @@
 	QObject context; ///< Object that lives on the thread, to invoke functions there.
 };
 
-/** Endpoint: a listener on its own thread. */
+/** Endpoint that answers every request at once: a listener on its own thread. */
 class FixedResponseEndpoint {
 public:
 	FixedResponseEndpoint()
@@ -188,7 +188,7 @@
 	void OnHead(ResponseHead head) override { this->status_ok = head.status == STATUS_OK; }
 	void OnBody(std::string_view) override {}
 
-	bool continuous = true; ///< Whether the next request is sent as soon as an answer is complete.
+	bool continuous = true; ///< Whether each complete answer is followed by the next request at once.
 	uint64_t failures = 0;  ///< Answers with a status other than 200.
 
 private:
@@ -196,7 +196,7 @@
 	std::string bytes;                      ///< Encoded request.
 	std::vector<double> &latencies;         ///< Collects latencies in microseconds.
 	std::unique_ptr<ResponseReader> reader; ///< Parser of the answer under way, null for none.
-	Clock::time_point request_begin;        ///< Time at which the request was sent.
+	Clock::time_point request_begin;        ///< Time at which the request under way was sent.
 	bool status_ok = false;                 ///< Whether the answer under way has status 200.
 
 	void OnReadable()
@@ -227,6 +227,7 @@
 	uint64_t failures = 0; ///< Answers with a status other than 200.
 };
 
+/** @return Quantile at `share` of ascending values, without interpolation; 0 without values. */
 double QuantileOf(std::vector<double> &sorted, double share)
 {
 	return sorted.empty() ? 0
@@ -234,7 +235,15 @@
 											sorted.size() - 1)];
 }
 
-/** Sends requests to a port, `rate` per second; for rate 0 each connection sends again upon every answer. */
+/**
+ * Sends requests to a port over loopback connections.
+ * @param port Port of the endpoint or of the entry.
+ * @param connections Number of connections.
+ * @param rate Requests per second, due on the connections in turn; a request due on a busy connection is skipped. With
+ * rate 0, each connection sends the next request upon each answer.
+ * @param span Length of the run.
+ * @return Throughput and latency.
+ */
 LoadResult RunLoad(quint16 port, int connections, double rate, std::chrono::milliseconds span)
 {
 	EventLoopThread loop;
@@ -254,14 +263,16 @@
 		}
 		timer = std::make_unique<QTimer>();
 		timer->setTimerType(Qt::PreciseTimer);
-		auto sent = std::make_shared<double>(0);
-		auto next = std::make_shared<size_t>(0);
-		QObject::connect(timer.get(), &QTimer::timeout, timer.get(), [&all, sent, next, rate, start = Clock::now()] {
-			const double due = rate * std::chrono::duration<double>(Clock::now() - start).count();
-			for (; *sent < due; *sent += 1) {
-				all[(*next)++ % all.size()]->Send();
-			}
-		});
+		/* Requests dispatched so far, with those that busy connections skipped. */
+		auto dispatched = std::make_shared<double>(0);
+		auto next_index = std::make_shared<size_t>(0);
+		QObject::connect(timer.get(), &QTimer::timeout, timer.get(),
+						 [&all, dispatched, next_index, rate, start = Clock::now()] {
+							 const double due = rate * std::chrono::duration<double>(Clock::now() - start).count();
+							 for (; *dispatched < due; *dispatched += 1) {
+								 all[(*next_index)++ % all.size()]->Send();
+							 }
+						 });
 		timer->start(1);
 	});
 	QThread::msleep(static_cast<unsigned long>(span.count()));
--- a/src/bench/simulated_fleet.cpp
+++ b/src/bench/simulated_fleet.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr Millis REBOOT_MEAN(12 * 60 * MS_PER_SECOND);        ///< Mean time of a reboot.
-constexpr Millis FAILURE_OUTAGE_MEAN(6 * MS_PER_HOUR);        ///< Mean time that a failed box is down.
-constexpr Millis RESTART_OUTAGE_MEAN(8 * 60 * MS_PER_SECOND); ///< Mean time that a restarted box is down.
-constexpr Millis RACK_OUTAGE_MEAN(3 * MS_PER_HOUR);           ///< Mean time that a rack is down.
-constexpr Millis ZONE_OUTAGE_MEAN(1 * MS_PER_HOUR);           ///< Mean time that a zone is down.
-constexpr Millis REPAIR_TIME(12 * MS_PER_HOUR);               ///< Time to repair a box that failed its checks.
-constexpr Millis REBOOT_MIN(6 * 60 * MS_PER_SECOND);          ///< Shortest time of a reboot.
-constexpr uint64_t FAILED_CHECKS_ONE_IN = 400;                ///< One reboot in so many is followed by failed checks.
-constexpr uint32_t PERCENT = 100;                             ///< Divisor of percentages.
+constexpr Millis REBOOT_MEAN(12 * 60 * MS_PER_SECOND);        ///< Mean time of a reboot that the planner ordered.
+constexpr Millis FAILURE_OUTAGE_MEAN(6 * MS_PER_HOUR);        ///< Mean outage of a failed box.
+constexpr Millis RESTART_OUTAGE_MEAN(8 * 60 * MS_PER_SECOND); ///< Mean outage of a box that restarts on its own.
+constexpr Millis RACK_OUTAGE_MEAN(3 * MS_PER_HOUR);           ///< Mean outage of a rack.
+constexpr Millis ZONE_OUTAGE_MEAN(1 * MS_PER_HOUR);           ///< Mean outage of a zone.
+constexpr Millis REPAIR_TIME(12 * MS_PER_HOUR);      ///< Time to repair a box that failed its checks after a reboot.
+constexpr Millis REBOOT_MIN(6 * 60 * MS_PER_SECOND); ///< Shortest time of a reboot.
+constexpr uint64_t FAILED_CHECKS_ONE_IN = 400;       ///< One reboot in so many is followed by failed checks.
+constexpr uint32_t PERCENT = 100;                    ///< Divisor of percentages.
 
 /* Floors of services in percent of their mean, assigned in turn, so that services differ. */
 constexpr uint32_t _floor_percents[] = {140, 110, 100, 90, 60};
@@ -184,7 +184,7 @@
 	TableEdit edit;
 	edit.base = fleet.table_version;
 	double remaining_per_day = this->preset.table_changes_per_day;
-	/* A draw yields at most one change per step: a higher rate is split over several draws. */
+	/* A draw yields at most one change, so a rate above one per step is split over several draws. */
 	const double max_per_day = static_cast<double>(MS_PER_DAY) / static_cast<double>(step.Value());
 	for (; remaining_per_day > 0; remaining_per_day -= max_per_day) {
 		if (!this->rng.EventOccurs(std::min(remaining_per_day, max_per_day), step)) {
@@ -192,7 +192,7 @@
 		}
 		const auto pool = static_cast<uint32_t>(this->rng.UniformBelow(this->preset.pools));
 		const CellKey key{ServiceName(ServiceNameOf(pool)), "floor"};
-		/* Floors vary by up to a fifth around the initial one, in steps of a tenth. */
+		/* The new floor is 80 to 120 percent of the initial one, in steps of a tenth. */
 		const uint32_t initial_floor = this->initial_floors[pool];
 		const uint64_t tenths = this->rng.UniformBelow(5);
 		const uint64_t floor = initial_floor * (8 + tenths) / 10;
--- a/src/bench/simulated_fleet.h
+++ b/src/bench/simulated_fleet.h
@@ -21,10 +21,10 @@
 	uint32_t slots = 8;                    ///< Slots of a box.
 	Guard guard = Guard::GD_ZONE;          ///< Failure domain whose loss the floors must survive.
 	uint32_t floors_percent = 52;          ///< Sum of all floors in percent of all slots.
-	double failures_per_day = 0.6;         ///< Boxes that fail and stay down for hours.
-	double restarts_per_day = 4.6;         ///< Boxes that restart without an order by the planner.
-	double rack_losses_per_day = 1.0 / 45; ///< Racks that go down for some hours.
-	double zone_losses_per_day = 1.0 / 60; ///< Zones that go down for some hours.
+	double failures_per_day = 0.6;         ///< Failures of single boxes, which stay down for hours.
+	double restarts_per_day = 4.6;         ///< Restarts of boxes without an order by the planner.
+	double rack_losses_per_day = 1.0 / 45; ///< Losses of racks for some hours.
+	double zone_losses_per_day = 1.0 / 60; ///< Losses of zones for about an hour.
 	double table_changes_per_day = 20;     ///< Changes of cells in the service table.
 	double jobs_per_day = 400;             ///< Jobs accepted.
 	bool lindeboom_policy = false; ///< Whether the planner uses LindeboomPolicy() instead of GreenhousePolicy().
@@ -32,7 +32,7 @@
 
 /**
  * @param name greenhouse, lindeboom or letter1.
- * @return Sizes and rates; the greenhouse values for other names.
+ * @return Sizes and rates; lindeboom has those of greenhouse, and so has any other name.
  */
 FleetPreset PresetByName(const std::string &name);
 
@@ -44,7 +44,7 @@
 	/** @return Uniformly distributed integer from 0 to `below` - 1. */
 	uint64_t UniformBelow(uint64_t below);
 
-	/** @return Whether an event with a daily rate occurs within a step; at most one is counted. */
+	/** @return Whether an event with a daily rate occurs within a step; a rate above one per step counts as one. */
 	bool EventOccurs(double per_day, Millis step);
 
 	/** @return Exponentially distributed time span with a given mean. */
@@ -71,7 +71,7 @@
 	void Step(Millis now, Millis step);
 
 	/**
-	 * Reboots a box; ignored for an unknown box and for a permit that was used already.
+	 * Reboots a box; ignored for an unknown box and for the permit of its last reboot.
 	 * @param box Box to reboot.
 	 * @param permit Permit of the reboot.
 	 * @param now Virtual time.
@@ -100,14 +100,16 @@
 		ListedBox listed;       ///< Box as the platform lists it.
 		Millis down_until;      ///< End of the outage or reboot.
 		PermitId reboot_permit; ///< Permit of the reboot under way, empty for none.
-		Millis repaired_at;     ///< Time at which a box that failed its checks passes them again.
+		Millis repaired_at; ///< Time at which the box passes its checks again, if it failed them after its last reboot.
 	};
 
 	FleetPreset preset;                   ///< Sizes and event rates.
 	std::vector<SimulatedBox> boxes;      ///< Boxes in the order of their names.
 	std::vector<uint32_t> initial_floors; ///< Floors in the initial table, by pool.
 
+	/** Marks boxes as down until a time, or longer if they are down for longer already. */
 	void TakeDown(Millis until, const std::vector<size_t> &indices);
+	/** @return Indices of the boxes in a rack of a zone; with a null rack, in the whole zone. */
 	[[nodiscard]] std::vector<size_t> BoxesIn(const ZoneName &zone, const RackName *rack) const;
 };
 
--- a/src/bench/slots_bench.cpp
+++ b/src/bench/slots_bench.cpp
@@ -1,4 +1,4 @@
-/** @file slots_bench.cpp Sharing of slots among 2, 3 and 9 entries under skewed load, compared with a single queue. */
+/** @file slots_bench.cpp Sharing of slots among 2, 3 and 9 entries under uneven load, compared with a single queue. */
 #include "bench_output.h"
 #include "simulated_fleet.h"
 
@@ -28,10 +28,10 @@
 
 /** Result of a run. */
 struct SlotsResult {
-	double used_share = 0;      ///< Mean share of slots in use.
+	double used_share = 0;      ///< Mean share of slots in use, by completed requests.
 	double messages = 0;        ///< Messages per second between all entries.
 	uint64_t peak_requests = 0; ///< Most concurrent requests on an endpoint.
-	double wait_ms = 0;         ///< Mean time that a request waits for a slot.
+	double wait_ms = 0;         ///< Mean time that a request waits until it gets a slot, ms.
 };
 
 /** Simulates entries that share the slots of endpoints. */
@@ -42,11 +42,17 @@
 		const uint32_t count = sharing == SlotSharing::SH_ONE_QUEUE ? 1 : entries;
 		this->caller_entries = entries;
 		for (uint32_t i = 0; i < count; i++) {
-			this->Add(i);
+			this->AddEntry(i);
 		}
-		this->PublishViews(count);
+		this->ApplyViews(count);
 	}
 
+	/**
+	 * Submits requests for a time.
+	 * @param span Length of the measurement.
+	 * @param load Offered load as a multiple of the capacity of all slots.
+	 * @return Result of the run.
+	 */
 	SlotsResult Run(Millis span, double load)
 	{
 		this->clock.RunUntil(Millis(10000)); /* Wait until the slot shares are stable. */
@@ -62,7 +68,7 @@
 			result.messages += static_cast<double>(it->broker->Counters().messages) / seconds;
 		}
 		result.peak_requests = this->peak_requests;
-		result.wait_ms = this->waits == 0 ? 0 : this->wait_sum / static_cast<double>(this->waits);
+		result.wait_ms = this->waits == 0 ? 0 : this->wait_ms_sum / static_cast<double>(this->waits);
 		return result;
 	}
 
@@ -91,16 +97,16 @@
 	RandomSource rng;                         ///< Random numbers of arrivals and service times.
 	VirtualScheduler clock;                   ///< Virtual clock.
 	std::vector<std::unique_ptr<Node>> nodes; ///< Entries; a single one for SH_ONE_QUEUE.
-	uint32_t caller_entries = 1;              ///< Number of entries that the load is generated for.
+	uint32_t caller_entries = 1;              ///< Number of entries among which the load is divided.
 	uint32_t hot_entry = 0;                   ///< Index of the entry that gets most of the load.
-	std::map<BoxName, uint64_t> running;      ///< Current requests by endpoint.
+	std::map<BoxName, uint64_t> running;      ///< Number of current requests by endpoint.
 	uint64_t peak_requests = 0;               ///< Most concurrent requests on an endpoint.
-	double busy_ms = 0;                       ///< Sum of service times.
-	double wait_sum = 0;                      ///< Sum of the waits for slots, ms.
-	uint64_t waits = 0;                       ///< Number of waits in `wait_sum`.
+	double busy_ms = 0;                       ///< Sum of the service times of completed requests, ms.
+	double wait_ms_sum = 0;                   ///< Sum of the waits for slots, ms.
+	uint64_t waits = 0;                       ///< Number of waits in `wait_ms_sum`.
 	Millis begin;                             ///< Start time of the measurement.
 
-	void Add(uint32_t i)
+	void AddEntry(uint32_t i)
 	{
 		auto node = std::make_unique<Node>();
 		node->name = MemberName("entry-" + std::to_string(i));
@@ -112,7 +118,7 @@
 		this->nodes.push_back(std::move(node));
 	}
 
-	void PublishViews(uint32_t count)
+	void ApplyViews(uint32_t count)
 	{
 		SimpleViewSpec spec;
 		spec.endpoints = ENDPOINTS;
@@ -146,7 +152,7 @@
 
 	void SubmitRequests(double load)
 	{
-		/* The arrival rate that keeps the share `load` of all slots busy; at least four fifths go to the hot entry. */
+		/* Arrivals per millisecond at this load; at least four fifths go to the hot entry. */
 		const double per_ms = load * ENDPOINTS * SLOTS / static_cast<double>(SERVICE_TIME_MEAN.Value());
 		const auto whole = static_cast<uint64_t>(per_ms);
 		const uint64_t extra =
@@ -176,12 +182,13 @@
 		}
 	}
 
+	/** Counts the wait of a granted request, and releases its slot after the service time. */
 	void OnDecision(const std::shared_ptr<PoolGate> &gate, Millis requested_at, const GateDecision &decision)
 	{
 		if (decision.code != ResultCode::RC_OK) {
 			return;
 		}
-		this->wait_sum += static_cast<double>((this->clock.Now() - requested_at).Value());
+		this->wait_ms_sum += static_cast<double>((this->clock.Now() - requested_at).Value());
 		this->waits++;
 		const Millis work = Millis(1) + this->rng.ExponentialSpan(SERVICE_TIME_MEAN);
 		this->peak_requests = std::max(this->peak_requests, ++this->running[decision.grant.box]);
--- a/src/bench/strategy.cpp
+++ b/src/bench/strategy.cpp
@@ -8,7 +8,7 @@
 /** The glademount planner. */
 class FleetPlanner : public Strategy {
 public:
-	explicit FleetPlanner(const PlannerPolicy &weights) { this->policy = weights; }
+	explicit FleetPlanner(const PlannerPolicy &settings) { this->policy = settings; }
 	[[nodiscard]] const char *Name() const override { return "glademount"; }
 	std::vector<Proposal> Step(const FleetState &fleet, const PlannerInputs &inputs) override
 	{
@@ -16,7 +16,7 @@
 	}
 };
 
-/** Common part of the baselines: registration, steps under permits, greedy grants of maintenance permits. */
+/** Common part of the baselines: registration, steps under permits, maintenance of any box that the budget allows. */
 class Baseline : public Strategy {
 public:
 	std::vector<Proposal> Step(const FleetState &fleet, const PlannerInputs &inputs) override
@@ -32,14 +32,15 @@
 	}
 
 protected:
-	size_t max_planned_down = SIZE_MAX; ///< Most boxes of the fleet in maintenance at once.
+	size_t max_in_maintenance = SIZE_MAX; ///< Maximum of boxes of the fleet under a maintenance permit at once.
 
 	/** @return Pool for a new box. */
 	virtual PoolName ChoosePool(PoolDraft &draft) = 0;
 
-	/** @return Permits to move boxes between pools. */
+	/** @return Proposals of permits to move boxes between pools. */
 	virtual std::vector<Proposal> Rebalance(PoolDraft &draft) = 0;
 
+	/** @return Number of boxes under a permit to move. */
 	static size_t CountMoving(const PoolDraft &draft)
 	{
 		size_t n = 0;
@@ -52,7 +53,7 @@
 private:
 	std::vector<Proposal> Register(const FleetState &fleet, const PlannerInputs &inputs)
 	{
-		/* The planner's registration, except for the choice of the pool. */
+		/* The planner's registration, with another choice of the pool. */
 		std::vector<Proposal> proposals = PlanList(fleet, inputs.list);
 		PoolDraft draft = PoolModelsOf(fleet);
 		for (Proposal &it : proposals) {
@@ -73,24 +74,26 @@
 		return proposals;
 	}
 
+	/** Grants permits to boxes that are due: never maintained yet, or last more than half a cycle ago. */
 	std::vector<Proposal> GrantMaintenance(const FleetState &fleet, PoolDraft &draft) const
 	{
 		std::vector<Proposal> proposals;
-		size_t active = 0;
+		size_t in_maintenance = 0;
 		for (const auto &[name, pool] : draft) {
-			active += static_cast<size_t>(std::ranges::count(pool.boxes, PermitPurpose::PP_MAINTAIN, &Box::purpose));
+			in_maintenance +=
+					static_cast<size_t>(std::ranges::count(pool.boxes, PermitPurpose::PP_MAINTAIN, &Box::purpose));
 		}
 		for (auto &[name, pool] : draft) {
 			for (Box &box : pool.boxes) {
 				const bool due = box.last_maintained == Millis(0) ||
 								 box.last_maintained + Millis(this->policy.cycle.Value() / 2) < fleet.time;
 				const bool free = box.state == BoxState::BS_SERVING && box.purpose == PermitPurpose::PP_NONE;
-				if (!due || !free || active >= this->max_planned_down) {
+				if (!due || !free || in_maintenance >= this->max_in_maintenance) {
 					continue;
 				}
 				if (!TakesWork(box) || CheckBudget(pool, box, false).Ok()) {
 					proposals.push_back(GrantPermit(box, PermitPurpose::PP_MAINTAIN, PoolName()));
-					active++;
+					in_maintenance++;
 				}
 			}
 		}
@@ -160,10 +163,10 @@
 	}
 };
 
-/** Maintains one box of the fleet at a time. */
+/** Even split that maintains one box of the fleet at a time. */
 class OneAtATime : public EvenSplit {
 public:
-	OneAtATime() { this->max_planned_down = 1; }
+	OneAtATime() { this->max_in_maintenance = 1; }
 	[[nodiscard]] const char *Name() const override { return "one_at_a_time"; }
 };
 
--- a/src/bench/strategy.h
+++ b/src/bench/strategy.h
@@ -1,4 +1,4 @@
-/** @file strategy.h Strategies for planning a fleet: the planner and baselines, all with the same fold. */
+/** @file strategy.h Strategies for planning a fleet: the planner, and baselines on the same fold. */
 #ifndef STRATEGY_H
 #define STRATEGY_H
 
@@ -6,7 +6,7 @@
 
 #include <memory>
 
-/** Plans the boxes of a fleet. */
+/** Plans registration, moves and maintenance of the boxes of a fleet. */
 class Strategy {
 public:
 	virtual ~Strategy() = default;
@@ -32,10 +32,13 @@
 /** @return The glademount planner with the settings of a deployment. */
 std::unique_ptr<Strategy> PlannerStrategy(const PlannerPolicy &policy);
 
-/** @return Even split: pools of equal size, one shared failure buffer per pool, as much at once as budgets allow. */
+/**
+ * @return Even split: new boxes go to the smallest pool, the services of a pool share one buffer for failures, and as
+ * many boxes are maintained at once as budgets allow.
+ */
 std::unique_ptr<Strategy> EvenSplitStrategy();
 
-/** @return First fit: boxes in the order of the list, each assigned to the first pool below its need. */
+/** @return First fit: new boxes go to the first pool with less than 1.5 times its floors; otherwise even split. */
 std::unique_ptr<Strategy> FirstFitStrategy();
 
 /** @return Even split with at most one box of the fleet in maintenance at a time. */
--- a/src/bench/synthetic_log.cpp
+++ b/src/bench/synthetic_log.cpp
@@ -3,15 +3,15 @@
 
 namespace {
 
-constexpr Millis START_TIME(1700000000000); ///< Time stamp of the first record.
+constexpr Millis START_TIME(1700000000000); ///< Time stamp of the first record; the others follow a second apart.
 constexpr uint64_t JOBS_PER_RECORD = 4;     ///< Jobs accepted in a record; several, as with group commit.
 
-/** Generates the records. */
-class SyntheticLogWriter {
+/** Generates the records of a log. */
+class SyntheticLogGenerator {
 public:
-	SyntheticLogWriter(const SyntheticSize &size, uint64_t seed) : size(size), rng(seed) {}
+	SyntheticLogGenerator(const SyntheticSize &size, uint64_t seed) : size(size), rng(seed) {}
 
-	std::vector<LogRecord> Make(size_t records)
+	std::vector<LogRecord> Generate(size_t records)
 	{
 		this->SetUp();
 		for (size_t i = 0; i < records; i++) {
@@ -37,7 +37,8 @@
 		this->batch.proposals.push_back(std::move(proposal));
 	}
 
-	void Flush()
+	/** Appends the collected proposals to the log as one record. */
+	void AppendRecord()
 	{
 		this->batch.rule_version = 1;
 		this->batch.writer = "keeper";
@@ -70,14 +71,14 @@
 			}
 		}
 		this->Add(std::move(table));
-		this->Flush();
+		this->AppendRecord();
 		for (uint32_t i = 0; i < this->size.teams; i++) {
 			glade::wire::TeamQuotaT quota;
 			quota.team = "team-" + std::to_string(i);
 			quota.units = 1000;
 			this->Add(std::move(quota));
 		}
-		this->Flush();
+		this->AppendRecord();
 		this->SetUpBoxes();
 		for (uint32_t i = 0; i < this->size.entries; i++) {
 			glade::wire::MemberJoinT join;
@@ -92,7 +93,7 @@
 			join.frames = "10.1.0." + std::to_string(i) + ":8002";
 			this->Add(std::move(join));
 		}
-		this->Flush();
+		this->AppendRecord();
 	}
 
 	void SetUpBoxes()
@@ -112,9 +113,10 @@
 			health.health = static_cast<uint8_t>(BoxHealth::BH_UP);
 			this->Add(std::move(health));
 		}
-		this->Flush();
+		this->AppendRecord();
 	}
 
+	/** Adds a record: of ten, two change a cell, one grants a permit and seven change jobs, on average. */
 	void AddRandomRecord()
 	{
 		const uint64_t roll = this->rng.UniformBelow(10);
@@ -129,7 +131,7 @@
 		} else {
 			this->AddJobChanges();
 		}
-		this->Flush();
+		this->AppendRecord();
 	}
 
 	void AddCellChange()
@@ -144,6 +146,7 @@
 		this->Add(std::move(table));
 	}
 
+	/** Accepts jobs, then cancels the oldest ones above the maximum. */
 	void AddJobChanges()
 	{
 		for (uint64_t i = 0; i < JOBS_PER_RECORD; i++) {
@@ -179,5 +182,5 @@
 
 std::vector<LogRecord> SyntheticLog(const SyntheticSize &size, size_t records, uint64_t seed)
 {
-	return SyntheticLogWriter(size, seed).Make(records);
+	return SyntheticLogGenerator(size, seed).Generate(records);
 }
--- a/src/bench/synthetic_log.h
+++ b/src/bench/synthetic_log.h
@@ -11,17 +11,17 @@
 	uint32_t teams = 10;  ///< Teams.
 	uint32_t zones = 4;   ///< Availability zones.
 	uint32_t entries = 8; ///< Entries.
-	uint32_t jobs = 200;  ///< Most jobs accepted and not cancelled.
+	uint32_t jobs = 200;  ///< Maximum of jobs that are accepted and not cancelled.
 };
 
 /**
  * @param preset Preset of a deployment.
- * @return Size of its log; three entries per zone.
+ * @return Size of its fleet, with three entries per zone and the jobs of a day.
  */
 SyntheticSize SyntheticSizeOf(const FleetPreset &preset);
 
 /**
- * Generates a log: initial records, then random cell changes, maintenance permits and job records.
+ * Generates a log: initial records, then random cell changes, maintenance permits, and jobs accepted and cancelled.
  * @param size Size of the fleet.
  * @param records Number of records after the initial ones.
  * @param seed Random seed.
