--- a/scripts/mixed_builds.sh
+++ b/scripts/mixed_builds.sh
@@ -47,10 +47,10 @@
 	esac
 	port=$((port + 100))
 	if GLADE_BIN="$dir/$keepers-keepers" PORT_BASE=$port scripts/tour.sh >"$dir/out" 2>&1; then
-		echo "tour with keepers of $keepers: $(tail -n 1 "$dir/out")"
+		echo "tour with keepers of $keepers build: $(tail -n 1 "$dir/out")"
 	else
-		echo "tour with keepers of $keepers FAILED"
-		tail -n 5 "$dir/out"
+		echo "tour with keepers of $keepers build FAILED"
+		grep -A 12 '^FAILED' "$dir/out" || tail -n 5 "$dir/out"
 		failed=$((failed + 1))
 	fi
 done
